--- a/crates/honeypulley_policy/benches/keys.rs
+++ b/crates/honeypulley_policy/benches/keys.rs
@@ -1,6 +1,6 @@
-//! Look-ups of callers' keys among as many organisations as the size to build towards has.
+//! Measures lookups of client keys at the number of organisations expected at full size.
 //!
-//! `cargo bench -p honeypulley_policy --bench keys`
+//! Run with `cargo bench -p honeypulley_policy --bench keys`.
 
 use cap::Cap;
 use honeypulley_policy::organisations::{KeyDigest, OrganisationSpec, Organisations};
@@ -13,7 +13,7 @@
 
 /// Organisations at full size.
 const ORGANISATIONS: usize = 580_000;
-/// Look-ups timed of each kind.
+/// Timed lookups of each kind.
 const LOOKUPS: usize = 1_000_000;
 
 fn main() {
--- a/crates/honeypulley_policy/benches/pick.rs
+++ b/crates/honeypulley_policy/benches/pick.rs
@@ -1,7 +1,7 @@
-//! Time of one pick before 21 upstreams, of which boxes of the hall tell open attempts.
+//! Measures the time of one pick among 21 upstreams with attempts of other boxes pending.
 //!
-//! Prints the middle of some rounds in nanoseconds; run it with `cargo bench -p
-//! honeypulley_policy`.
+//! Prints the median over several rounds in nanoseconds. Run with `cargo bench -p
+//! honeypulley_policy --bench pick`.
 
 use honeypulley_policy::balance::{Balancer, Listed, News, RetryRule};
 use honeypulley_policy::chooser::{Ask, Chooser};
@@ -32,7 +32,7 @@
     b
 }
 
-/// Each peer has one attempt open, the peers in turn on the upstreams.
+/// Opens one attempt per peer, distributed evenly over the upstreams.
 fn open_by_peers(b: &mut Balancer, at: Time) {
     for peer in 0..PEERS {
         let upstream = NameId::of(&format!("u{}", peer % UPSTREAMS));
@@ -41,7 +41,7 @@
     }
 }
 
-/// Has the first upstreams name a limit that they are far from.
+/// Sets a rate limit, far above the traffic, on the first `upstreams` upstreams.
 fn name_limits(b: &mut Balancer, upstreams: usize, now: Time) {
     for i in 0..upstreams {
         let news = News::Limit { upstream: NameId::of(&format!("u{i}")), rate: Some(9e5) };
@@ -49,7 +49,7 @@
     }
 }
 
-/// Returns the middle time of a pick, in nanoseconds, where some upstreams name limits.
+/// Returns the median time of a pick in nanoseconds, with `limited` upstreams rate-limited.
 fn pick_time(limited: usize) -> u64 {
     let mut b = balancer();
     let service = b.service("s").expect("set up");
--- a/crates/honeypulley_policy/src/belief.rs
+++ b/crates/honeypulley_policy/src/belief.rs
@@ -1,65 +1,66 @@
-//! Chance that an upstream is sick, by a hidden Markov model.
+//! Probability that an upstream is unhealthy, estimated by a hidden Markov model.
 //!
-//! An upstream falls sick at random and stays so for some seconds. Its sickness has
-//! two phases, one after the other, so that it seldom ends within the first second;
-//! with one phase, a second trial would come too soon. Each observation moves the
-//! chances by Bayes' rule, so that at a low base rate of failures a single one says
-//! most of it. Source: Rabiner, 1989, for the filter.
+//! An upstream becomes unhealthy at random and stays so for some seconds. The unhealthy state
+//! consists of two consecutive phases, so that it seldom ends within the first second; with a
+//! single phase, the next probe would be sent too early. Each observation updates the probabilities
+//! by Bayes' rule. Since the base rate of failures is low, a single failure already decides most of
+//! the estimate. Source for the filter: Rabiner, 1989.
 
 use crate::balance::illness::{HUNG_RATIO, OVERDUE_RATIO};
 use crate::time::Time;
 
-/// Prior share of requests that fail on a sick upstream.
+/// Prior failure rate of requests on an unhealthy upstream.
 pub const FAILS_SICK: f64 = 0.75;
-/// Prior rate at which an upstream falls sick, per second.
+/// Prior rate at which an upstream becomes unhealthy, per second.
 const ONSET: f64 = 1.0 / 19.0;
-/// Rate at which a path from this box falls ill, per second: cuts and the like.
+/// Rate at which the path from this box to an upstream fails, per second.
 const PATH_ONSET: f64 = 1.0 / 600.0;
-/// Prior rate at which a phase of sickness ends, per second.
+/// Prior rate at which a phase of the unhealthy state ends, per second.
 const PHASE_END: f64 = 1.0 / 2.3;
-/// Most that is believed of the sickness of an upstream that was said to be well.
+/// Upper bound of the unhealthy probability after a peer reports the upstream healthy.
 const CALM_SICK: f64 = 0.1;
-/// Least chance of any state, which keeps all of them movable.
+/// Lower bound of the probability of any state, so that no state becomes absorbing.
 const LEAST: f64 = 1e-4;
 
-/// What was seen of an upstream.
+/// Observed result of an attempt, or of an attempt that is still pending.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Observation {
-    /// A whole answer in time.
+    /// A complete response in time.
     Success,
-    /// A failure answer at once, a reset, a cut or a malformed answer.
+    /// An immediate failure response, a reset, or a truncated or malformed response.
     Failure,
-    /// A failure answer after the usual time of work.
+    /// A failure response after the usual processing time.
     ///
-    /// It is mostly the request's own fault, where an immediate one is mostly the upstream's.
+    /// Most of these are caused by the request, whereas immediate failures are mostly caused by the
+    /// upstream.
     FailedWork,
     /// The connection was refused.
     Refused,
-    /// No connection came up in time.
+    /// The connection timed out.
     Unreachable,
-    /// No answer after a time in which few answers are still to come.
+    /// No response after a time by which most responses have arrived.
     Overdue,
-    /// No answer after a time in which nearly all have come.
+    /// No response after a time by which nearly all responses have arrived.
     ///
-    /// It follows [`Self::Overdue`] of the same attempt, unless that ended before.
+    /// Follows [`Self::Overdue`] for the same attempt, unless the attempt ended earlier.
     Hung,
-    /// It turned the request away.
+    /// The upstream rejected the request.
     Shed,
 }
 
 impl Observation {
-    /// Returns whether a request may be lost by it.
+    /// Returns whether the observation can mean a lost request.
     ///
-    /// A request of which nothing was sent goes elsewhere at no cost, so it is no failure of
-    /// its service.
+    /// A request of which nothing was sent goes to another upstream at no cost, so it is not a
+    /// failure of its service.
     #[must_use]
     pub const fn may_lose(self) -> bool {
         matches!(self, Self::Failure | Self::FailedWork | Self::Hung | Self::Shed)
     }
 
-    /// Returns how likely this is of a well and of a sick upstream.
+    /// Returns the likelihood of this observation for a healthy and an unhealthy upstream.
     ///
-    /// Nearly all base failures come after work.
+    /// Nearly all failures at the base rate occur after processing.
     pub(crate) const fn likelihood(self) -> (f64, f64) {
         match self {
             Self::Success => (0.93, 0.25),
@@ -67,7 +68,7 @@
             Self::FailedWork => (0.012, 0.03),
             Self::Refused => (0.002, 0.4),
             Self::Unreachable => (0.01, 0.4),
-            // The ratios at which attempts in flight are announced, in two steps.
+            // The likelihood ratios at which pending attempts are announced, in two steps.
             Self::Overdue => (1.0, OVERDUE_RATIO),
             Self::Hung => (1.0, HUNG_RATIO / OVERDUE_RATIO),
             Self::Shed => (0.05, 0.3),
@@ -75,33 +76,33 @@
     }
 }
 
-/// Belief about one upstream, or about the path to it.
+/// Estimated health of one upstream, or of the path to it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Belief {
-    /// Chance of the first phase of sickness.
+    /// Probability of the first unhealthy phase.
     early: f64,
-    /// Chance of the second.
+    /// Probability of the second unhealthy phase.
     late: f64,
-    /// Rate at which sickness begins, per second.
+    /// Rate at which the unhealthy state begins, per second.
     onset: f64,
     at: Time,
 }
 
 impl Belief {
-    /// Starts from the prior.
+    /// Creates an estimate at the prior.
     #[must_use]
     pub fn new(now: Time) -> Self {
         let usual = usual(ONSET);
         Self { early: usual, late: usual, onset: ONSET, at: now }
     }
 
-    /// Starts for something that is seldom bad, such as a path.
+    /// Creates an estimate for something that seldom fails, such as a network path.
     #[must_use]
     pub const fn sound(now: Time) -> Self {
         Self { early: LEAST, late: LEAST, onset: PATH_ONSET, at: now }
     }
 
-    /// Adopts what a peer believes of an upstream.
+    /// Creates an estimate from the phase probabilities reported by a peer.
     #[must_use]
     pub fn told([early, late]: [f64; 2], now: Time) -> Self {
         let early = early.clamp(LEAST, 1.0 - 2.0 * LEAST);
@@ -109,27 +110,27 @@
         Self { early, late, onset: ONSET, at: now }
     }
 
-    /// Returns the chances of the two phases of sickness at `now`.
+    /// Returns the probabilities of the two unhealthy phases at `now`.
     #[must_use]
     pub fn phases(&self, now: Time) -> [f64; 2] {
         let aged = self.aged(now);
         [aged.early, aged.late]
     }
 
-    /// Returns the chance that the upstream is sick at `now`.
+    /// Returns the probability that the upstream is unhealthy at `now`.
     #[must_use]
     pub fn chance(&self, now: Time) -> f64 {
         let aged = self.aged(now);
         aged.early + aged.late
     }
 
-    /// Records one observation.
+    /// Updates the estimate with one observation.
     pub fn observe(&mut self, o: Observation, now: Time) {
         let (well, sick) = o.likelihood();
         self.weigh(well, sick, now);
     }
 
-    /// Updates by the likelihoods of a well and of a sick upstream.
+    /// Updates the estimate by the likelihoods for a healthy and an unhealthy upstream.
     pub fn weigh(&mut self, well: f64, sick: f64, now: Time) {
         *self = self.aged(now);
         let joint = [(1.0 - self.early - self.late) * well, self.early * sick, self.late * sick];
@@ -142,7 +143,7 @@
         }
     }
 
-    /// Adopts a better informed peer's report that it is well.
+    /// Lowers the estimate after a better informed peer reported the upstream healthy.
     pub fn calm(&mut self, now: Time) {
         *self = self.aged(now);
         let sick = self.early + self.late;
@@ -156,10 +157,11 @@
         self.late *= by;
     }
 
-    /// Returns the belief as time alone has moved it.
+    /// Returns the estimate advanced to `now` without any observation.
     ///
-    /// The distance from the usual chances follows a linear equation, whose solution
-    /// is a damped turn; `damping` and `turn` are its eigenvalues' parts.
+    /// The deviation from the stationary probabilities follows a linear differential equation whose
+    /// solution is a damped oscillation. `damping` and `turn` are the real and imaginary parts of
+    /// its eigenvalues.
     fn aged(&self, now: Time) -> Self {
         let secs = now.since(self.at).as_secs_f64();
         let usual = usual(self.onset);
@@ -176,7 +178,7 @@
     }
 }
 
-/// Returns the chance of either phase for one of which nothing was seen.
+/// Returns the stationary probability of each unhealthy phase.
 fn usual(onset: f64) -> f64 {
     onset / 2.0f64.mul_add(onset, PHASE_END)
 }
--- a/crates/honeypulley_policy/src/chooser.rs
+++ b/crates/honeypulley_policy/src/chooser.rs
@@ -1,4 +1,4 @@
-//! What the serving path asks of a policy, whichever that is.
+//! Interface between the serving path and a routing policy.
 
 use crate::balance::{BudgetUse, NamedLimit, Resend};
 use crate::collector::NameId;
@@ -9,126 +9,126 @@
 use std::fmt::Debug;
 use std::time::Duration;
 
-/// One request as a policy sees it.
+/// Properties of a request that a policy takes into account.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ask {
-    /// Service asked for.
+    /// Requested service.
     pub service: ServiceKey,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// Rank of it; zero goes first.
+    /// Priority; zero is the highest.
     pub priority: u8,
-    /// Whether its answer is large.
+    /// Whether the response is large.
     pub bulky: bool,
-    /// Time within which an answer is wanted, if the route says.
+    /// Target latency of the route, if it has one.
     pub aim: Option<Duration>,
-    /// Time that is left until it must be answered, if that is bounded.
+    /// Time remaining until the deadline, if there is one.
     pub left: Option<Duration>,
-    /// Route that it came by.
+    /// Route that matched the request.
     pub route: NameId,
 }
 
-/// Load that an upstream reported with an answer.
+/// Load that an upstream reported in a response.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadReport {
-    /// Requests running and waiting there.
+    /// Running and queued requests.
     pub busy: f64,
-    /// Requests it runs at one time.
+    /// Requests that the upstream processes concurrently.
     pub slots: f64,
 }
 
-/// Where an upstream is.
+/// Name and address of an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Place<'a> {
-    /// Name, which no other instance ever had.
+    /// Name of the instance, which is never reused.
     pub name: &'a str,
-    /// Address and port by IP number.
+    /// IP address and port.
     pub addr: &'a str,
 }
 
-/// What a policy knew of an upstream when it chose it.
+/// State of an upstream on which a policy based its choice.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Inputs {
-    /// Chance that it is sick, by what all boxes saw.
+    /// Probability that the upstream is unhealthy, based on the observations of all boxes.
     pub sick: f64,
-    /// Chance that this box's path to it is bad.
+    /// Probability that the path from this box to the upstream has failed.
     pub path: f64,
-    /// Requests running and waiting there, as far as this box knows.
+    /// Running and queued requests of the upstream, as far as this box knows.
     pub busy: f64,
-    /// Whether it stands in this box's data hall.
+    /// Whether the upstream is in the data hall of this box.
     pub near: bool,
-    /// Age of the upstream's last load report, if there was one.
+    /// Age of the last load report, if there is one.
     pub load_age: Option<Duration>,
-    /// The limit that the upstream names.
+    /// Rate limit announced by the upstream.
     pub limit: Option<NamedLimit>,
-    /// The list of upstreams at the choice.
+    /// Version and age of the list of upstreams.
     pub list: ListNow,
 }
 
-/// Which list of upstreams a box holds.
+/// Version and age of the list of upstreams that a box holds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ListNow {
-    /// Position up to which it is complete.
+    /// Revision up to which the list is complete.
     pub version: Revision,
-    /// Time since it was last known to be complete, if it ever was.
+    /// Time since the list was last confirmed complete, if it ever was.
     pub age: Option<Duration>,
 }
 
-/// A policy: chooses upstreams and learns from how attempts went.
+/// A routing policy, which picks upstreams and learns from the results of attempts.
 pub trait Chooser: Debug + Send {
-    /// Picks an upstream for one attempt and opens it; `tried` ones are left out.
+    /// Picks an upstream for one attempt and opens the attempt, skipping the `tried` ones.
     ///
     /// # Errors
-    /// A [`Refusal`] if there is none; nothing was sent then.
+    /// Returns a [`Refusal`] if no upstream is available; nothing has been sent then.
     fn pick(&mut self, ask: &Ask, tried: &[UpstreamKey], now: Time) -> Result<Pick, Refusal>;
-    /// Returns where an upstream is, if it is still known.
+    /// Returns the name and address of an upstream, if it is still known.
     fn place(&self, k: UpstreamKey) -> Option<Place<'_>>;
-    /// Returns whether an upstream has started again, so that what was open there is over.
+    /// Returns whether an upstream has restarted, which ends all attempts opened there before.
     fn has_restarted(&self, _: UpstreamKey) -> bool {
         false
     }
-    /// Returns what is known of an upstream, for the log.
+    /// Returns the state of an upstream, for logging.
     fn inputs(&self, _: UpstreamKey, _: Time) -> Inputs {
         Inputs::default()
     }
-    /// Returns when the soonest answer can be expected, for the log of a refusal.
+    /// Returns the shortest expected latency, for logging a refusal.
     fn expected(&self, _: &Ask, _: Time) -> Option<Duration> {
         None
     }
-    /// Returns the wait after which an open attempt of this age is looked at again.
+    /// Returns the delay until an open attempt of this age is checked again.
     fn look_after(&self, ask: &Ask, age: Duration) -> Duration;
-    /// Records that an attempt is still in flight.
+    /// Records that an attempt is still pending.
     fn still_open(&mut self, k: AttemptKey, now: Time);
-    /// Returns whether a hedge is worthwhile beside an attempt of this age.
+    /// Returns whether a hedged attempt is worthwhile while another of this age is pending.
     ///
-    /// `Some` is the chance that the first one will not be answered.
+    /// `Some` holds the probability that the first attempt gets no response.
     fn hedge(&self, _: &Ask, _: AttemptKey, _: Time) -> Option<f64> {
         Some(1.0)
     }
-    /// Returns whether a send now could still be answered in time.
+    /// Returns whether an attempt sent now could still meet the deadline.
     fn is_in_time(&self, _: &Ask) -> bool {
         true
     }
-    /// Checks that some upstream may be sent a request now, before a retry token is spent.
+    /// Checks that an upstream is available, before a retry token is spent.
     ///
     /// # Errors
-    /// A [`Refusal`] if there is none.
+    /// Returns a [`Refusal`] if no upstream is available.
     fn may_send(&mut self, _: &Ask, _: &[UpstreamKey], _: Time) -> Result<(), Refusal> {
         Ok(())
     }
-    /// Spends one send beyond the first of a request; returns whether there was one.
+    /// Spends one retry token and returns whether there was one.
     fn spend_retry(&mut self, k: ServiceKey, why: Resend, now: Time) -> bool;
-    /// Returns what is known of a service's retry budget, for the log.
+    /// Returns the state of the retry budget of a service, for logging.
     fn budget_use(&self, _: ServiceKey, _: Time) -> BudgetUse {
         BudgetUse::default()
     }
-    /// Records the head of an answer; `ok` is false for a failure answer.
+    /// Records the head of a response; `ok` is false for a failure response.
     fn answered(&mut self, k: AttemptKey, ok: bool, now: Time);
-    /// Records the length of an answer's body in bytes, once its head says so.
+    /// Records the length of a response body in bytes, once the head states it.
     fn sized(&mut self, _: AttemptKey, _: u64) {}
-    /// Records what an upstream said of itself in the head of an answer to an attempt.
+    /// Records the signals that an upstream sent in the head of a response.
     fn signalled(&mut self, k: AttemptKey, s: &Signals, now: Time) -> SignalChanges;
-    /// Records that a whole, good answer carried no rate limit; returns whether one is lifted.
+    /// Records a successful response without a rate limit; returns whether a limit was lifted.
     fn limit_withdrawn(&mut self, _: AttemptKey) -> bool {
         false
     }
@@ -149,7 +149,7 @@
         self.stall_limit(ask.service)
     }
 
-    // A router finds overdue attempts itself, in its tick.
+    // The router detects overdue attempts in its own tick.
     fn still_open(&mut self, _: AttemptKey, _: Time) {}
 
     fn spend_retry(&mut self, k: ServiceKey, _: Resend, _: Time) -> bool {
--- a/crates/honeypulley_policy/src/collector.rs
+++ b/crates/honeypulley_policy/src/collector.rs
@@ -1,8 +1,7 @@
-//! Evidence of many boxes on the upstreams of one service.
+//! Aggregates evidence of many boxes on the upstreams of one service.
 //!
-//! A box sees about one request in two seconds of a service at full size, too
-//! few to judge alone. Boxes report to a few collectors; a collector answers
-//! with verdict changes only.
+//! Of a service at full size, a box sees about one request in two seconds, which is too few to
+//! judge alone. Boxes report to a few collectors; a collector responds with changed verdicts only.
 
 use crate::ledger::Ledger;
 use crate::spec::{Floor, Lean};
@@ -12,93 +11,93 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Key of a named thing on the wire: the XXH3 hash of its name.
+/// Identifier of a named object on the wire: the XXH3 hash of its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct NameId(pub u64);
 
 impl NameId {
-    /// Hashes a name.
+    /// Creates the identifier of a name.
     #[must_use]
     pub fn of(name: &str) -> Self {
         Self(xxh3_64(name.as_bytes()))
     }
 }
 
-/// Outcomes of one upstream since a box's last report.
+/// Outcomes of one upstream since the last report of a box.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReportItem {
-    /// Upstream judged.
+    /// Reported upstream.
     pub upstream: NameId,
-    /// Good outcomes.
+    /// Number of successes.
     pub good: u16,
-    /// Weight of bad outcomes, in tenths of a failure.
+    /// Weighted failures, in tenths of a failure.
     pub bad: u16,
 }
 
-/// What one box saw of one service since its last report.
+/// Outcomes that one box observed for one service since its last report.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Report {
-    /// Service judged.
+    /// Reported service.
     pub service: NameId,
-    /// Box that saw it.
+    /// Reporting box.
     pub reporter: NameId,
-    /// One item for each upstream with outcomes.
+    /// One item per upstream with outcomes.
     pub items: Vec<ReportItem>,
 }
 
-/// How a collector judges an upstream.
+/// Health of an upstream as judged by a collector.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Judgement {
-    /// Others are preferred.
+    /// Unhealthy: other upstreams are preferred.
     Suspect,
-    /// A little work is sent to see whether it recovered.
+    /// Receives a small share of requests as a probe for recovery.
     Probation,
-    /// Judged as healthy as any other.
+    /// Healthy.
     Clear,
 }
 
-/// A change of judgement.
+/// A change in the health of an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Verdict {
     /// Service of the upstream.
     pub service: NameId,
-    /// Upstream judged.
+    /// Upstream concerned.
     pub upstream: NameId,
-    /// The judgement.
+    /// New health of the upstream.
     pub judgement: Judgement,
-    /// Time for which it holds without a further word.
+    /// Time for which the verdict holds unless it is renewed.
     pub hold: Duration,
-    /// Boxes that bore witness.
+    /// Number of boxes whose evidence supports the verdict.
     pub witnesses: u16,
 }
 
-/// Half-life of the counts that show a trouble which all share.
+/// Half-life of the counts that detect a fault shared by all upstreams.
 const SHORT_LIFE: Duration = Duration::from_secs(1);
-/// Time for which a box's testimony counts.
+/// Time for which the evidence of a box counts.
 const WITNESS_WINDOW: Duration = Duration::from_secs(5);
-/// Bad outcomes that the least number of witnesses can contribute together, in
-/// multiples of what a suspicion needs.
+/// Failures that a minimal quorum can contribute together, as a multiple of the minimum for a
+/// suspicion.
 const WITNESS_SPARE: f64 = 2.0;
-/// Share of its usual counts that a stalled upstream has as bad outcomes at once.
+/// Immediate failures of a stalled upstream, as a share of its usual outcomes.
 const STALLED_SHARE: f64 = 0.1;
-/// Bad outcomes of the last moments that even a quiet service must show.
+/// Minimum of recent failures for a suspicion in a service with little traffic.
 const QUIET_LEAST: f64 = 1.2;
-/// Least contribution of a box that counts as a witness.
+/// Minimum contribution for which a box counts as a witness.
 const WITNESS_MIN: f64 = 0.5;
 /// Hold after the first suspicion; doubles with each relapse.
 const FIRST_HOLD: Duration = Duration::from_secs(4);
-/// Longest hold.
+/// Upper bound of the hold.
 const MAX_HOLD: Duration = Duration::from_secs(120);
-/// Good outcomes that end a probation.
+/// Successes that end a probation.
 const PROBATION_GOOD: f64 = 6.0;
-/// Bad outcomes that end it the other way.
+/// Failures during probation that count as a relapse.
 const PROBATION_BAD: f64 = 2.0;
-/// Least bad rate of a relapse.
+/// Minimum failure rate of a relapse.
 const PROBATION_RATE: f64 = 0.2;
-/// Time in good standing after which relapses are forgotten.
+/// Time without a suspicion after which relapses are forgotten.
 const FORGIVE: Duration = Duration::from_secs(60);
 
-/// Time for a release to reach the permits.
+/// Time by which a release must have reached the permits.
 const RELEASE_TIME: Duration = Duration::from_secs(5);
 
 #[derive(Clone, Copy, Debug)]
@@ -122,7 +121,7 @@
 }
 
 impl Collector {
-    /// Builds a collector for `service`.
+    /// Creates a collector for `service`.
     #[must_use]
     pub fn new(service: &str, lean: Lean, floor: Floor) -> Self {
         Self {
@@ -137,13 +136,13 @@
         }
     }
 
-    /// Applies the settings of a new bundle; standing judgements stay.
+    /// Applies the settings of a new bundle, keeping all current judgements.
     pub const fn configure(&mut self, lean: Lean, floor: Floor) {
         self.lean = lean;
         self.floor = floor;
     }
 
-    /// Applies the live upstreams and the number of boxes from the lagging list.
+    /// Applies the live upstreams and the number of boxes from the list, which may lag.
     pub fn set_members(&mut self, members: impl IntoIterator<Item = NameId>, boxes: usize) {
         self.members = members.into_iter().collect();
         self.boxes = boxes.max(1);
@@ -153,41 +152,41 @@
         self.testimony.retain(|(_, u), _| live.contains(u));
     }
 
-    /// Returns the score at which an upstream is suspect.
+    /// Returns the score from which an upstream is suspect.
     #[must_use]
     pub fn bar(lean: Lean) -> f64 {
         lean.mix(15.0, 22.0)
     }
 
-    /// Returns the bad outcomes of the last moments that a suspicion needs.
+    /// Returns the recent failures required for a suspicion.
     fn least(&self) -> f64 {
         self.lean.mix(6.0, 8.0)
     }
 
-    /// Returns the same, fewer for a service with little traffic.
+    /// Returns the recent failures required, lowered for a service with little traffic.
     ///
-    /// An upstream that stalls has a tenth of its usual counts, which reach back
-    /// some fourteen seconds, as bad outcomes of the last moments.
+    /// The usual counts reach back about fourteen seconds, so a stalled upstream shows about a
+    /// tenth of them as recent failures.
     fn least_here(&self) -> f64 {
         let stalled = self.ledger.usual_count() * STALLED_SHARE;
         self.least().min(stalled.max(QUIET_LEAST))
     }
 
-    /// Returns the bad outcomes that one box can contribute within the window.
+    /// Returns the weighted failures that one box can contribute within the window.
     fn witness_cap(&self) -> f64 {
         self.least() * WITNESS_SPARE / self.quorum() as f64
     }
 
-    /// Returns the witnesses needed for a suspicion.
+    /// Returns the number of witnesses required for a suspicion.
     #[must_use]
     fn quorum(&self) -> usize {
         (self.lean.mix(3.0, 4.0).round() as usize).min(self.boxes)
     }
 
-    /// Takes over an upstream that another collector ejected.
+    /// Adopts an upstream that another collector ejected.
     ///
-    /// One that this collector cleared is taken over too once its release is
-    /// overdue, so that no permit is left behind.
+    /// Also adopts an upstream that this collector cleared, once its release is overdue, so that no
+    /// permit is leaked.
     pub fn adopt(&mut self, upstream: NameId, now: Time) {
         let overdue =
             |s: &Standing| s.judgement == Judgement::Clear && now.since(s.since) > RELEASE_TIME;
@@ -197,7 +196,7 @@
         }
     }
 
-    /// Applies one report; returns the judgements it changed.
+    /// Applies one report and returns the changed verdicts.
     pub fn report(&mut self, report: &Report, now: Time) -> Vec<Verdict> {
         let weight = self.credibility(report, now);
         let known: Vec<ReportItem> =
@@ -209,13 +208,13 @@
         self.judge(now)
     }
 
-    /// Looks for holds that ended; returns the judgements that changed.
+    /// Ends expired holds and returns the changed verdicts.
     pub fn tick(&mut self, now: Time) -> Vec<Verdict> {
         self.testimony.retain(|_, (_, at)| now.since(*at) < WITNESS_WINDOW);
         self.judge(now)
     }
 
-    /// Returns the upstreams not in good standing.
+    /// Returns the upstreams that are suspect or on probation.
     pub fn standing(&self) -> impl Iterator<Item = (NameId, Judgement)> + '_ {
         self.standing
             .iter()
@@ -223,9 +222,9 @@
             .map(|(&u, s)| (u, s.judgement))
     }
 
-    /// Weighs a box's testimony: a box that suspects many is itself suspect.
+    /// Returns the weight of a report, which drops if its box suspects many upstreams.
     ///
-    /// Source: Lifeguard (2017), a sick observer doubts itself first.
+    /// A box that suspects many upstreams is probably faulty itself. Source: Lifeguard (2017).
     fn credibility(&self, report: &Report, now: Time) -> f64 {
         let fresh = report.items.iter().filter(|i| i.bad > 0).map(|i| i.upstream);
         let held = self
@@ -233,14 +232,14 @@
             .range((report.reporter, NameId(0))..=(report.reporter, NameId(u64::MAX)))
             .filter(|(_, (_, at))| now.since(*at) < WITNESS_WINDOW)
             .map(|((_, u), _)| *u);
-        // Those that many boxes agree on already cast no doubt on this one.
+        // Upstreams that are already judged unhealthy do not reduce the credibility.
         let agreed = |u: &NameId| self.standing().any(|(s, _)| s == *u);
         let accused: BTreeSet<NameId> = fresh.chain(held).filter(|u| !agreed(u)).collect();
         let usual = (self.members.len() / 3).max(1);
         if accused.len() > usual { 1.0 / (accused.len() * accused.len()) as f64 } else { 1.0 }
     }
 
-    /// Books one item; returns the weight of bad outcomes it may add.
+    /// Records one item and returns the weighted failures that it may add.
     fn testify(&mut self, reporter: NameId, item: ReportItem, weight: f64, now: Time) -> f64 {
         if item.bad == 0 {
             return 0.0;
@@ -291,7 +290,8 @@
             Some(Judgement::Probation) => {
                 let (good, bad) = self.ledger.counts(u);
                 let round = s?.round;
-                // A relapse too must stand out: under overload all answer badly.
+                // Under overload all upstreams fail, so a relapse must exceed the siblings' failure
+                // rate.
                 let usual = self.ledger.sibling_rate(u) * 2.0;
                 let rate = bad / (bad + good).max(1.0);
                 if bad >= PROBATION_BAD && rate > usual.max(PROBATION_RATE) {
@@ -305,7 +305,7 @@
         };
         let witnesses = self.witnesses(u, now) as u16;
         self.standing.insert(u, Standing { judgement, since: now, round });
-        // Each phase is judged on its own evidence.
+        // Each state is judged on evidence from that state only.
         self.ledger.reset(u);
         self.testimony.retain(|(_, v), _| *v != u);
         Some(Verdict {
@@ -327,7 +327,7 @@
         }
         let held = self.standing().map(|(u, _)| u);
         let troubled: BTreeSet<NameId> = self.ledger.over(bar / 2.0).chain(held).collect();
-        // Most of a service in trouble at once is overload or the network.
+        // Trouble in most of a service at once indicates overload or a network fault.
         let spare = self.members.len().saturating_sub(self.floor.count(self.members.len()));
         troubled.len() <= spare
     }
--- a/crates/honeypulley_policy/src/ledger.rs
+++ b/crates/honeypulley_policy/src/ledger.rs
@@ -1,37 +1,37 @@
-//! Evidence for and against the upstreams of one service.
+//! Failure statistics of the upstreams of one service.
 //!
-//! A CUSUM per upstream on good and bad outcomes. The bad rate of the *other*
-//! upstreams is the null hypothesis, so a trouble that all share (overload, the
-//! network) carries little weight against any one. Source: Page, 1954, for
-//! CUSUM; the null from siblings is this project's own, measured by `trial`.
+//! Runs one CUSUM test (Page, 1954) per upstream over successes and failures. The failure rate of
+//! the *other* upstreams is the null hypothesis, so that a fault shared by all of them, such as
+//! overload or a network fault, carries little weight against any single one. The choice of the
+//! null hypothesis is specific to this project; the `trial` tool measures its effect.
 
 use crate::time::Time;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// What one outcome says of an upstream.
+/// Evidence that one request gives about its upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Evidence {
-    /// A whole answer in the usual time.
+    /// A complete response within the usual time.
     Good,
-    /// A whole answer, later than the service's usual spread.
+    /// A complete response that took longer than usual for the service.
     Slow,
-    /// No answer yet, older than the service's usual spread.
+    /// No response yet, after longer than usual for the service.
     Stall,
     /// A refused, reset or failed request.
     Failure,
-    /// A malformed, cut or mislabelled answer.
+    /// A malformed, truncated or mislabelled response.
     Wrong,
 }
 
 impl Evidence {
-    /// Returns whether it is about time alone.
+    /// Returns whether the evidence concerns latency only.
     #[must_use]
     pub const fn is_lateness(self) -> bool {
         matches!(self, Self::Slow | Self::Stall)
     }
 
-    /// Returns the weight of this evidence in tenths of a failure.
+    /// Returns the weight of this evidence, in tenths of a failure.
     #[must_use]
     pub const fn tenths(self) -> u16 {
         match self {
@@ -43,22 +43,22 @@
     }
 }
 
-/// Half-life of the long counts.
+/// Half-life of the long-term counts.
 const HALF_LIFE: Duration = Duration::from_secs(10);
-/// Aging is done in steps of this share of a half-life.
+/// Smallest fraction of a half-life for which counts are decayed.
 const AGING_STEP: f64 = 0.05;
-/// Times the median of its siblings' bad outcomes that an outlier has.
+/// Factor over the median failures of its siblings from which an upstream is an outlier.
 const OUTLIER_RATIO: f64 = 3.0;
-/// Bad rate that a sick upstream is tested for.
+/// Failure rate of an unhealthy upstream under the alternative hypothesis.
 const SICK_RATE: f64 = 0.5;
-/// Outcomes assumed before any were seen.
+/// Weight of the prior failure rate, in outcomes.
 const PRIOR: f64 = 20.0;
-/// Bad rate assumed before any outcome was seen.
+/// Failure rate assumed before any outcome is recorded.
 const PRIOR_BAD: f64 = 0.01;
-/// Score a run of good answers may not go under.
+/// Lower bound of the score, reached after a series of successes.
 const MIN_SCORE: f64 = 0.0;
 
-/// Running counts and score of one upstream.
+/// Counts and CUSUM score of one upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct Entry {
     long: Counts,
@@ -66,7 +66,7 @@
     score: f64,
 }
 
-/// Good and bad outcomes, aged.
+/// Exponentially decayed counts of successes and failures.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct Counts {
     good: f64,
@@ -84,7 +84,7 @@
         self.bad *= share;
     }
 
-    /// Returns the bad rate of these without `own`, with a prior.
+    /// Returns the failure rate without the counts in `own`, smoothed by a prior.
     fn rate_without(self, own: Self, prior: f64) -> f64 {
         let bad = (self.bad - own.bad).max(0.0);
         let all = bad + (self.good - own.good).max(0.0);
@@ -92,7 +92,7 @@
     }
 }
 
-/// Evidence on every upstream of one service, keyed by `K`.
+/// CUSUM scores of all upstreams of one service, keyed by `K`.
 #[derive(Clone, Debug)]
 pub struct Ledger<K> {
     entries: BTreeMap<K, Entry>,
@@ -105,10 +105,10 @@
 }
 
 impl<K: Ord + Copy> Ledger<K> {
-    /// Builds an empty ledger whose scores stop at `cap`.
+    /// Creates an empty set of scores, each limited to `cap`.
     ///
-    /// `short_life` is the half-life of the counts that show a trouble which all
-    /// share before the long ones do.
+    /// `short_life` is the half-life of the short-term counts, which show a fault shared by all
+    /// upstreams earlier than the long-term counts do.
     #[must_use]
     pub const fn new(cap: f64, short_life: Duration) -> Self {
         let none = Counts { good: 0.0, bad: 0.0 };
@@ -123,9 +123,9 @@
         }
     }
 
-    /// Adds `good` good outcomes and `bad` weighted bad ones of `key`.
+    /// Adds `good` successes and `bad` weighted failures of `key`.
     ///
-    /// Returns the upstream's new score.
+    /// Returns the new score of the upstream.
     pub fn add(&mut self, key: K, good: f64, bad: f64, now: Time) -> f64 {
         self.age(now);
         let null = self.sibling_rate(key);
@@ -141,7 +141,7 @@
         e.score
     }
 
-    /// Returns the bad rate of the other upstreams, the worse of long and short.
+    /// Returns the failure rate of the other upstreams: the higher of short-term and long-term.
     #[must_use]
     pub fn sibling_rate(&self, key: K) -> f64 {
         let own = self.entries.get(&key).copied().unwrap_or_default();
@@ -150,14 +150,14 @@
         long.max(short).clamp(PRIOR_BAD / 2.0, 0.9)
     }
 
-    /// Returns whether `key` had far more bad outcomes lately than its siblings.
+    /// Returns whether `key` recently had far more failures than its siblings.
     ///
-    /// It needs `least` of them at any rate. Good outcomes are left out: they are
-    /// reported late, bad ones at once.
+    /// At least `least` failures are required. Successes are ignored because they are reported
+    /// late, whereas failures are reported at once.
     #[must_use]
     pub fn is_outlier(&self, key: K, least: f64) -> bool {
         let own = self.entries.get(&key).map_or(0.0, |e| e.short.bad);
-        // The median, so that a few that are sick at once don't hide each other.
+        // The median, so that several unhealthy upstreams do not mask each other.
         let siblings = self.entries.iter().filter(|(k, _)| **k != key);
         let mut bad: Vec<f64> = siblings.map(|(_, e)| e.short.bad).collect();
         bad.sort_unstable_by(f64::total_cmp);
@@ -165,19 +165,19 @@
         own >= least + OUTLIER_RATIO * median
     }
 
-    /// Returns the outcomes that an upstream has on average, aged.
+    /// Returns the mean decayed number of outcomes per upstream.
     #[must_use]
     pub fn usual_count(&self) -> f64 {
         (self.long.good + self.long.bad) / self.entries.len().max(1) as f64
     }
 
-    /// Returns the score of `key`, zero if it was never seen.
+    /// Returns the score of `key`, or zero if it is unknown.
     #[must_use]
     pub fn score(&self, key: K) -> f64 {
         self.entries.get(&key).map_or(0.0, |e| e.score)
     }
 
-    /// Returns the aged counts of good and bad outcomes of `key`.
+    /// Returns the decayed counts of successes and failures of `key`.
     #[must_use]
     pub fn counts(&self, key: K) -> (f64, f64) {
         self.entries.get(&key).map_or((0.0, 0.0), |e| (e.long.good, e.long.bad))
@@ -188,7 +188,7 @@
         self.entries.iter().filter(move |(_, e)| e.score >= h).map(|(&k, _)| k)
     }
 
-    /// Forgets everything of `key`, as after a hold.
+    /// Clears the counts and the score of `key`.
     pub fn reset(&mut self, key: K) {
         if let Some(e) = self.entries.get_mut(&key) {
             self.long.add(-e.long.good, -e.long.bad);
@@ -197,7 +197,7 @@
         }
     }
 
-    /// Drops every upstream that `keep` refuses.
+    /// Removes all upstreams for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(K) -> bool) {
         let gone: Vec<K> = self.entries.keys().copied().filter(|&k| !keep(k)).collect();
         for k in gone {
@@ -224,7 +224,7 @@
     }
 }
 
-/// Returns the share that counts keep, if a step of aging is due.
+/// Returns the factor by which to decay the counts, if a decay step is due.
 fn kept(aged: &mut Time, half_life: Duration, now: Time) -> Option<f64> {
     let lives = now.since(*aged).as_secs_f64() / half_life.as_secs_f64();
     if lives < AGING_STEP {
--- a/crates/honeypulley_policy/src/lib.rs
+++ b/crates/honeypulley_policy/src/lib.rs
@@ -1,14 +1,14 @@
 //! Pure decision logic of honeypulley.
 //!
-//! Events go in and decisions come out. Time and randomness are passed in, so a
-//! seed and a list of events always give the same decisions. Nothing here does
-//! I/O, starts a thread or keeps global state.
+//! The crate is deterministic: time and randomness are passed in, so a seed and a sequence of
+//! events always give the same decisions. It performs no I/O, starts no threads and has no global
+//! state.
 //!
-//! Two ways to choose stand behind [`chooser::Chooser`]. The first is [`router`]
-//! (one box's choice), [`ledger`] (evidence against an upstream), [`collector`]
-//! (evidence of many boxes) and [`permits`] (the fleet-wide bound on ejections).
-//! The second, for services with few requests a box, is [`balance`] over
-//! [`belief`]: it ejects nothing and weighs the loss to expect of each upstream.
+//! [`chooser::Chooser`] has two implementations. [`router`] routes the requests of one box and
+//! ejects upstreams, using the failure statistics of [`ledger`], the evidence that [`collector`]
+//! aggregates over many boxes, and the fleet-wide limit on ejections in [`permits`]. [`balance`],
+//! for services with few requests per box, ejects nothing: it picks the upstream with the lowest
+//! expected loss according to [`belief`].
 
 pub mod balance;
 pub mod belief;
@@ -31,7 +31,7 @@
 pub mod spread;
 pub mod time;
 
-/// The names most users of this crate need.
+/// Re-exports of the most commonly used types.
 pub mod prelude {
     pub use crate::{
         collector::{Collector, Report, ReportItem, Verdict},
--- a/crates/honeypulley_policy/src/naive.rs
+++ b/crates/honeypulley_policy/src/naive.rs
@@ -1,17 +1,17 @@
-//! The naive policy that the real one is measured against.
+//! Baseline outlier detection that the policy is compared with.
 //!
-//! Every box alone: five consecutive failures set an upstream aside for thirty
-//! seconds, at most a tenth of the service at a time. These are the published
-//! defaults of common outlier detection.
+//! Each box decides alone: five consecutive failures eject an upstream for thirty seconds, with at
+//! most a tenth of the service ejected at a time. These are the published defaults of common
+//! outlier detection.
 
 use crate::time::Time;
 use std::time::Duration;
 
-/// Consecutive failures that eject.
+/// Consecutive failures that eject an upstream.
 pub const FAILURES: u32 = 5;
-/// Time within which they must fall.
+/// Time window in which these failures must occur.
 pub const WINDOW: Duration = Duration::from_secs(10);
-/// Time set aside.
+/// Duration of an ejection.
 pub const ASIDE: Duration = Duration::from_secs(30);
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -22,28 +22,28 @@
     out: u32,
 }
 
-/// One box's naive view of one service.
+/// Outlier detection of one box for one service.
 #[derive(Clone, Debug)]
 pub struct Naive {
     entries: Vec<Entry>,
 }
 
 impl Naive {
-    /// Builds a view of `n` upstreams.
+    /// Creates the state for `n` upstreams.
     #[must_use]
     pub fn new(n: usize) -> Self {
         Self { entries: vec![Entry::default(); n] }
     }
 
-    /// Returns whether upstream `i` is set aside at `now`.
+    /// Returns whether upstream `i` is ejected at `now`.
     #[must_use]
     pub fn is_aside(&self, i: usize, now: Time) -> bool {
         self.entries[i].until.is_some_and(|t| now < t)
     }
 
-    /// Picks the one with fewer outstanding of two drawn at random.
+    /// Picks the less loaded of two upstreams drawn at random.
     ///
-    /// Returns `None` if all are set aside.
+    /// Returns `None` if all are ejected.
     pub fn pick(&mut self, now: Time, rng: &mut fastrand::Rng) -> Option<usize> {
         let open: Vec<usize> =
             (0..self.entries.len()).filter(|&i| !self.is_aside(i, now)).collect();
@@ -55,7 +55,7 @@
         Some(best)
     }
 
-    /// Records the end of a request; returns whether this set the upstream aside.
+    /// Records the end of a request and returns whether it ejected the upstream.
     pub fn finish(&mut self, i: usize, ok: bool, now: Time) -> bool {
         let aside = (0..self.entries.len()).filter(|&j| self.is_aside(j, now)).count();
         let most = (self.entries.len() / 10).max(1);
--- a/crates/honeypulley_policy/src/permits.rs
+++ b/crates/honeypulley_policy/src/permits.rs
@@ -1,15 +1,14 @@
 //! Fleet-wide bound on ejections.
 //!
-//! One object per service on the platform lists every upstream that any box may
-//! treat as ejected. It changes by conditional update only, so the version of
-//! the update is the fence and no clock is compared between boxes.
+//! One object per service on the platform lists every upstream that any box may treat as ejected.
+//! It changes by conditional update only, so the version of the update is the fencing token and
+//! clocks of different boxes are never compared.
 //!
-//! A box may act on a permit for [`LEASE`] after the platform last confirmed
-//! its view. A released upstream stays on the list as [`Hold::Cooling`] until
-//! every older view has lapsed: whoever retires it must itself have seen the
-//! release for longer than a lease, on its own monotonic clock. The union of
-//! what all boxes eject therefore never exceeds the list, and the list never
-//! exceeds what the floor spares.
+//! A box may act on a permit for [`LEASE`] after the platform last confirmed the box's view. A
+//! released upstream stays on the list as [`Hold::Cooling`] until all older views have expired:
+//! whoever removes it must itself have observed the release for longer than a lease, on its own
+//! monotonic clock. Therefore the union of the ejections of all boxes is always a subset of the
+//! list, and the list never exceeds what the floor allows.
 
 use crate::time::Time;
 use serde::{Deserialize, Serialize};
@@ -18,65 +17,65 @@
 
 /// Time for which a confirmed view of the permits may be acted on.
 pub const LEASE: Duration = Duration::from_secs(10);
-/// Extra wait before a slot is freed, for clocks that run at unlike rates.
+/// Additional wait before a slot is freed, to allow for clock drift.
 pub const MARGIN: Duration = Duration::from_secs(1);
 
-/// Why an upstream stands on the list.
+/// State of a listed upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Hold {
-    /// Gets no work.
+    /// Receives no requests.
     Ejected,
-    /// Gets a few repeatable requests to see whether it recovered.
+    /// Receives a few repeatable requests as a probe for recovery.
     Canary,
-    /// Gets work again; older views may still eject it.
+    /// Receives requests again, though boxes with older views may still eject it.
     Cooling,
 }
 
-/// One upstream on the list.
+/// One listed upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PermitEntry {
-    /// Why it stands there.
+    /// State of the upstream.
     pub hold: Hold,
-    /// Number of the change that put it in this state.
+    /// Serial number of the change that set this state.
     pub serial: u64,
 }
 
-/// The permit object of one service.
+/// Permit object of one service.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PermitRecord {
-    /// Number of the last change.
+    /// Serial number of the last change.
     pub serial: u64,
-    /// Upstreams that some box may treat as ejected.
+    /// Upstreams that any box may treat as ejected.
     pub entries: BTreeMap<String, PermitEntry>,
 }
 
-/// What a writer knows of a service's capacity.
+/// Capacity of a service as known to the writer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FloorContext {
-    /// Upstreams that the lagging list shows as live and that have not drained.
+    /// Upstreams that are listed as live and have not announced a shutdown.
     pub live: usize,
-    /// Upstreams to keep.
+    /// Minimum number of upstreams that must not be ejected.
     pub floor: usize,
 }
 
-/// Why a permit was refused.
+/// Reason for which a change of permits is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PermitError {
-    /// One more ejection would leave fewer than the floor.
+    /// Another ejection would leave fewer upstreams than the floor.
     #[error("the floor of {floor} would be broken: {live} live, {held} held")]
     Floor {
-        /// Live upstreams.
+        /// Number of live upstreams.
         live: usize,
-        /// Upstreams already on the list.
+        /// Number of upstreams already on the list.
         held: usize,
-        /// Upstreams to keep.
+        /// Minimum number of upstreams that must not be ejected.
         floor: usize,
     },
-    /// The upstream is not in the state this change starts from.
+    /// The upstream is not in the state that the change requires.
     #[error("the upstream is not in the state this change starts from")]
     State,
-    /// Older views may not have lapsed yet.
+    /// Older views may not have expired yet.
     #[error("older views lapse in {0:?}")]
     Cooling(Duration),
 }
@@ -85,14 +84,14 @@
     /// Returns the record with `upstream` ejected.
     ///
     /// # Errors
-    /// [`PermitError::Floor`] if too few upstreams would be left, and
-    /// [`PermitError::State`] if it is ejected already.
+    /// Returns [`PermitError::Floor`] if too few upstreams would remain, and [`PermitError::State`]
+    /// if the upstream is already ejected.
     pub fn eject(&self, upstream: &str, ctx: FloorContext) -> Result<Self, PermitError> {
         let listed = self.hold(upstream);
         if listed == Some(Hold::Ejected) {
             return Err(PermitError::State);
         }
-        // One that is listed already counts already: it costs no further slot.
+        // An upstream that is already listed takes no additional slot.
         let held = self.entries.len() + usize::from(listed.is_none());
         if ctx.live < ctx.floor + held {
             let FloorContext { live, floor } = ctx;
@@ -101,10 +100,10 @@
         Ok(self.with(upstream, Hold::Ejected))
     }
 
-    /// Returns the record with `upstream` getting canary requests.
+    /// Returns the record with `upstream` receiving canary requests.
     ///
     /// # Errors
-    /// [`PermitError::State`] unless it is ejected.
+    /// Returns [`PermitError::State`] unless the upstream is ejected.
     pub fn try_canary(&self, upstream: &str) -> Result<Self, PermitError> {
         match self.hold(upstream) {
             Some(Hold::Ejected) => Ok(self.with(upstream, Hold::Canary)),
@@ -112,10 +111,10 @@
         }
     }
 
-    /// Returns the record with `upstream` back at work, its slot still held.
+    /// Returns the record with `upstream` released but still occupying its slot.
     ///
     /// # Errors
-    /// [`PermitError::State`] unless it is ejected or a canary.
+    /// Returns [`PermitError::State`] unless the upstream is ejected or a canary.
     pub fn release(&self, upstream: &str) -> Result<Self, PermitError> {
         match self.hold(upstream) {
             Some(Hold::Ejected | Hold::Canary) => Ok(self.with(upstream, Hold::Cooling)),
@@ -125,12 +124,12 @@
 
     /// Returns the record without `upstream`.
     ///
-    /// The caller saw the release numbered `serial` for the time `seen`. The
-    /// number keeps a later release from being taken for the one that was seen.
+    /// The writer has observed the release numbered `serial` for the time `seen`. The serial number
+    /// prevents a later release from being mistaken for the observed one.
     ///
     /// # Errors
-    /// [`PermitError::Cooling`] while older views may be acted on, and
-    /// [`PermitError::State`] unless that very release stands.
+    /// Returns [`PermitError::Cooling`] while older views may still be acted on, and
+    /// [`PermitError::State`] unless the entry is that release.
     pub fn retire(&self, upstream: &str, serial: u64, seen: Duration) -> Result<Self, PermitError> {
         if self.entries.get(upstream) != Some(&PermitEntry { hold: Hold::Cooling, serial }) {
             return Err(PermitError::State);
@@ -144,7 +143,7 @@
         Ok(next)
     }
 
-    /// Returns why an upstream stands on the list, if it does.
+    /// Returns the state of an upstream, if it is listed.
     #[must_use]
     pub fn hold(&self, upstream: &str) -> Option<Hold> {
         self.entries.get(upstream).map(|e| e.hold)
@@ -158,12 +157,12 @@
     }
 }
 
-/// A box's view of all permits and when it was last confirmed.
+/// View of all permits held by a box, with the time of its last confirmation.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PermitView {
-    /// Records by service.
+    /// Records by service name.
     pub records: BTreeMap<String, PermitRecord>,
-    /// When the platform last vouched for the view, if it ever did.
+    /// Time at which the platform last confirmed the view, if it ever did.
     pub confirmed: Option<Time>,
 }
 
--- a/crates/honeypulley_policy/src/placement.rs
+++ b/crates/honeypulley_policy/src/placement.rs
@@ -1,32 +1,31 @@
-//! Deterministic placement by rendezvous hashing.
+//! Deterministic placement by rendezvous hashing (Thaler and Ravishankar, 1998).
 //!
-//! Every box computes the same answer from the same list, so no election is
-//! needed. A lagging list costs a little traffic and never correctness.
-//! Source: Thaler and Ravishankar, 1998.
+//! Every box computes the same result from the same list, so no leader election is needed. A
+//! lagging list costs some traffic but never correctness.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Role that a rendezvous draw is for, so that roles land on different boxes.
+/// Purpose of a placement, hashed so that different roles select different boxes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Watches the platform for a data hall.
+    /// Boxes that watch the platform on behalf of a data hall.
     Relay,
-    /// Collects evidence for a service.
+    /// Boxes that collect evidence for a service.
     Collector,
-    /// Upstreams that a box sends a service's requests to.
+    /// Upstreams to which a box sends the requests of a service.
     Subset,
 }
 
-/// Boxes that collect evidence for one service.
+/// Number of boxes that collect evidence for one service.
 pub const COLLECTORS: usize = 2;
 
-/// Boxes of one data hall that watch the platform.
+/// Number of boxes per data hall that watch the platform.
 pub const RELAYS: usize = 3;
 
 /// Returns the `k` names with the highest weight for `subject`.
 ///
-/// The subject is hashed once and seeds the hash of each name, since a box
-/// draws for hundreds of services among hundreds of names.
+/// The subject is hashed only once, as the seed for hashing the names, since a box computes
+/// placements for hundreds of services among hundreds of names.
 #[must_use]
 pub fn top<'a>(
     role: Role,
@@ -47,7 +46,7 @@
     drawn.into_iter().map(|(_, n)| n).collect()
 }
 
-/// Returns the weight of one box in the draw for a numbered subject.
+/// Returns the weight of one box for a numbered subject.
 #[must_use]
 pub fn weight(id: u64, subject: u64) -> u64 {
     xxh3_64_with_seed(&id.to_le_bytes(), subject)
@@ -59,11 +58,11 @@
     top(Role::Collector, service, boxes, COLLECTORS)
 }
 
-/// Returns how many upstreams of a service one box may connect to.
+/// Returns the number of upstreams of a service that one box may connect to.
 ///
-/// `boxes` boxes with one connection each must stay under `connections` at every
-/// upstream. A random draw spreads as a binomial, so four standard deviations are
-/// kept free. The whole set is returned where it fits, as it does today.
+/// With one connection per box, every upstream must stay below `connections`. The number of boxes
+/// per upstream follows a binomial distribution, so four standard deviations are reserved. All
+/// upstreams are used where that fits, as in current deployments.
 #[must_use]
 pub fn subset_size(boxes: usize, upstreams: usize, connections: usize) -> usize {
     if boxes <= connections {
@@ -78,7 +77,7 @@
     (1..=upstreams).take_while(|&d| fits(d)).last().unwrap_or(1)
 }
 
-/// Returns how many connections one box may hold to one upstream.
+/// Returns the number of connections that one box may open to one upstream.
 #[must_use]
 pub fn connection_share(
     boxes: usize,
--- a/crates/honeypulley_policy/src/router.rs
+++ b/crates/honeypulley_policy/src/router.rs
@@ -1,7 +1,7 @@
-//! One box's routing state: events in, picks and reports out.
+//! Routing state of one box.
 //!
-//! The thread that serves requests owns a [`Router`]. Other duties feed it
-//! bundles, members, permits and verdicts as events.
+//! The thread that serves requests owns a [`Router`]. Other threads send it bundles, members,
+//! permits and verdicts as events.
 
 mod choice;
 mod evidence;
@@ -20,9 +20,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Requests that a rate admits at once.
+/// Burst size of a service's rate limit, in requests.
 const RATE_BURST: f64 = 10.0;
-/// Share of the deadline that answers may take before requests are refused.
+/// Response time from which requests are shed, as a share of the deadline.
 const SHED_TARGET: f64 = 0.25;
 
 new_key_type! {
@@ -30,70 +30,70 @@
     pub struct ServiceKey;
     /// Key of an upstream in a router's arena.
     pub struct UpstreamKey;
-    /// Key of one attempt in a router's arena.
+    /// Key of an attempt in a router's arena.
     pub struct AttemptKey;
 }
 
-/// Why an upstream was picked.
+/// Reason for which an upstream was picked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// The cheaper of two drawn at random.
+    /// It was the less loaded of two upstreams drawn at random.
     TwoChoices,
-    /// A little work for one on probation.
+    /// It is on probation and receives a probe.
     Canary,
-    /// Every preferred upstream is full, so one that is avoided gets the work.
+    /// It is avoided, but all preferred upstreams are full.
     LastResort,
-    /// The least loss is to be expected of it.
+    /// It has the lowest expected loss.
     LeastLoss,
 }
 
-/// A picked upstream; give the attempt back with [`Router::finish`].
+/// A picked upstream, whose attempt must be closed by [`Router::finish`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Pick {
-    /// The attempt that was opened.
+    /// Opened attempt.
     pub attempt: AttemptKey,
-    /// The upstream picked.
+    /// Picked upstream.
     pub upstream: UpstreamKey,
-    /// Why it was picked.
+    /// Reason for the choice.
     pub reason: Reason,
 }
 
-/// How an attempt ended.
+/// Result of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The whole answer passed through.
+    /// The complete response was forwarded.
     Whole,
-    /// The upstream refused before running it.
+    /// The upstream rejected the request without running it.
     NotRun,
-    /// A reset or a failure answer.
+    /// The connection was reset, or the response reported a failure.
     Failed,
     /// The connection was refused; nothing was sent.
     Refused,
-    /// No connection came up in time; nothing was sent.
+    /// The connection timed out; nothing was sent.
     Unreachable,
-    /// Another instance has the address and refused to run it.
+    /// A different instance answered at the address and refused to run the request.
     Misdirected,
-    /// Malformed, cut or mislabelled answer.
+    /// The response was malformed, truncated or mislabelled.
     Wrong,
-    /// The deadline passed first.
+    /// The deadline expired.
     Late,
-    /// The caller left, or another attempt won.
+    /// The client disconnected, or another attempt succeeded first.
     Abandoned,
 }
 
-/// One open attempt.
+/// An open attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct Attempt {
     upstream: UpstreamKey,
     service: ServiceKey,
     started: Time,
-    /// Set once the attempt bore witness, so that it does so only once.
+    /// Whether evidence was recorded for the attempt, which happens only once.
     judged: bool,
-    /// Set once the answer's head arrived.
+    /// Whether the head of the response has arrived.
     answered: bool,
 }
 
-/// This box's own hold on an upstream.
+/// Hold on an upstream by this box alone.
 #[derive(Clone, Copy, Debug, Default)]
 struct OwnHold {
     until: Option<Time>,
@@ -116,16 +116,16 @@
     near: bool,
     leaving: bool,
     drained: Option<Time>,
-    /// When this box may send it something again, as it asked for.
+    /// End of the backoff that the upstream requested from this box.
     backoff: Option<Time>,
     joined: Time,
     out: usize,
     load: Option<(f64, Time)>,
-    /// Whether its last answer came as quickly as usual.
+    /// Whether the last response arrived within the usual time.
     quick: bool,
     own: OwnHold,
     shared: Option<SharedHold>,
-    /// Boxes behind the last suspicion.
+    /// Number of boxes that supported the last suspicion.
     witnesses: u16,
     permit: Option<Hold>,
     pending: (u16, u16),
@@ -145,33 +145,33 @@
     urgent: bool,
 }
 
-/// What an operator sees of one upstream.
+/// Status of one upstream, for operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UpstreamStatus {
-    /// Service name.
+    /// Name of the service.
     pub service: String,
-    /// Upstream name.
+    /// Name of the upstream.
     pub upstream: String,
     /// State in one word.
     pub state: &'static str,
-    /// Why it is in that state, empty if there is nothing to say.
+    /// Reason for the state, or empty.
     pub reason: String,
-    /// This box's own evidence.
+    /// Evidence recorded by this box.
     pub evidence: Seen,
-    /// Open attempts of this box.
+    /// Number of open attempts of this box.
     pub out: usize,
 }
 
-/// A box's own evidence on an upstream.
+/// Evidence that a box recorded on an upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Seen {
-    /// Score; the higher, the sicker.
+    /// CUSUM score; higher values indicate an unhealthy upstream.
     pub score: f64,
-    /// Good and weighted bad outcomes, aged with a half-life of ten seconds.
+    /// Successes and weighted failures, decayed with a half-life of ten seconds.
     pub counts: (f64, f64),
 }
 
-/// One box's routing state.
+/// Routing state of one box.
 #[derive(Debug)]
 pub struct Router {
     name: String,
@@ -189,7 +189,7 @@
 }
 
 impl Router {
-    /// Builds the router of box `name` in data hall `hall`.
+    /// Creates the router of box `name` in data hall `hall`.
     #[must_use]
     pub fn new(name: &str, hall: &str, seed: u64) -> Self {
         Self {
@@ -208,12 +208,12 @@
         }
     }
 
-    /// Sets the bytes a second that reports with nothing bad may take.
+    /// Sets the bandwidth for reports without failures, in bytes per second.
     pub const fn set_report_rate(&mut self, rate: f64) {
         self.report_rate = rate;
     }
 
-    /// Applies the services of a bundle; what was learnt of kept ones stays.
+    /// Applies the services of a bundle, keeping the statistics of those that remain.
     pub fn set_services(&mut self, specs: impl IntoIterator<Item = ServiceSpec>) {
         let mut gone: BTreeSet<String> = self.by_name.keys().cloned().collect();
         for spec in specs {
@@ -233,7 +233,7 @@
 
     /// Applies the lagging list of upstreams and the number of live boxes.
     ///
-    /// Members of services that no bundle names are left out.
+    /// Ignores members of services that are not in the bundle.
     pub fn set_members(&mut self, members: &[Member], boxes: usize, now: Time) {
         self.boxes = boxes.max(1);
         let mut listed: BTreeMap<ServiceKey, Vec<&Member>> = BTreeMap::new();
@@ -277,7 +277,7 @@
             && self.upstreams.get(k).is_some_and(same)
         {
             let u = &mut self.upstreams[k];
-            // Listed as leaving and live again: it has restarted in its place.
+            // A change from leaving to live means that the upstream restarted at its address.
             if u.leaving && !leaving {
                 u.drained = None;
                 u.joined = now;
@@ -309,7 +309,7 @@
         k
     }
 
-    /// Applies a view of the permits, from the platform or a relay.
+    /// Applies a view of the permits received from the platform or a relay.
     pub fn set_permits(&mut self, view: &PermitView) {
         self.confirmed = view.confirmed;
         for u in self.upstreams.values_mut() {
@@ -324,7 +324,7 @@
         self.confirmed = self.confirmed.max(Some(at));
     }
 
-    /// Applies a collector's verdict; returns the upstream's name if it is known.
+    /// Applies a collector's verdict and returns the name of the upstream, if known.
     pub fn set_verdict(&mut self, v: &Verdict, now: Time) -> Option<&str> {
         let k = *self.by_id.get(&v.upstream)?;
         let u = self.upstreams.get_mut(k)?;
@@ -347,13 +347,13 @@
         self.by_name.get(name).copied()
     }
 
-    /// Returns what the bundle says of a service.
+    /// Returns the settings of a service.
     #[must_use]
     pub fn spec(&self, k: ServiceKey) -> Option<&ServiceSpec> {
         self.services.get(k).map(|s| &s.spec)
     }
 
-    /// Returns name and address of an upstream.
+    /// Returns the name and the address of an upstream.
     #[must_use]
     pub fn upstream(&self, k: UpstreamKey) -> Option<(&str, &str)> {
         self.upstreams.get(k).map(|u| (u.name.as_str(), u.addr.as_str()))
@@ -365,10 +365,10 @@
         self.attempts.len()
     }
 
-    /// Admits one request by the service's rate and its overload.
+    /// Admits a request subject to the rate limit and load shedding of its service.
     ///
     /// # Errors
-    /// A [`Refusal`] saying when to come back.
+    /// Returns a [`Refusal`] with the time after which to retry.
     pub fn admit(&mut self, k: ServiceKey, now: Time) -> Result<(), Refusal> {
         let Some(s) = self.services.get_mut(k) else { return Ok(()) };
         let limited = s.rate.as_mut().map_or(Ok(()), |r| r.take(RATE_BURST, now));
@@ -383,12 +383,12 @@
         Ok(())
     }
 
-    /// Spends one retry or hedge of the service; tells whether there was one.
+    /// Spends one retry token of the service and returns whether there was one.
     pub fn spend_retry(&mut self, k: ServiceKey) -> bool {
         self.services.get_mut(k).is_some_and(|s| s.budget.spend())
     }
 
-    /// Returns the age at which an attempt counts as stalled.
+    /// Returns the age from which an attempt counts as stalled.
     #[must_use]
     pub fn stall_limit(&self, k: ServiceKey) -> Duration {
         self.services.get(k).map_or(Duration::from_secs(1), Service::stall_limit)
@@ -404,7 +404,7 @@
 
     fn drop_upstream(&mut self, k: UpstreamKey) {
         let Some(u) = self.upstreams.remove(k) else { return };
-        // A successor at another address may already stand under the name.
+        // A successor at a different address may already be registered under this name.
         if self.by_id.get(&u.id) == Some(&k) {
             self.by_id.remove(&u.id);
         }
@@ -433,17 +433,17 @@
         if spec.retries != self.spec.retries {
             self.budget = RetryBudget::new(spec.retries);
         }
-        // Each box admits its equal share of a rate that holds fleet-wide.
+        // The rate limit is fleet-wide, so each box admits an equal share of it.
         if spec.rate != self.spec.rate || self.rate.is_none() {
             self.rate = spec.rate.map(|r| Gcra::new(r / boxes as f64));
         }
         self.spec = spec;
     }
 
-    /// Returns the share of requests to refuse under overload.
+    /// Returns the share of requests to shed under overload.
     ///
-    /// The queue is held at a quarter of the deadline: what is admitted is
-    /// answered in time, the rest is told at once when to come back.
+    /// Load shedding keeps the response time at a quarter of the deadline. Admitted requests are
+    /// answered in time; all others are refused at once with a time after which to retry.
     fn shed_share(&self) -> f64 {
         let target = self.spec.deadline.as_secs_f64() * SHED_TARGET;
         let recent = self.spread.recent().as_secs_f64();
@@ -462,7 +462,7 @@
     }
 }
 
-/// Spreads a wait over one to one and a half times its length.
+/// Extends a wait by a random share of up to half of its length.
 #[must_use]
 pub fn jitter(d: Duration, rng: &mut fastrand::Rng) -> Duration {
     d.mul_f64(1.0 + rng.f64() / 2.0)
--- a/crates/honeypulley_policy/src/router/choice.rs
+++ b/crates/honeypulley_policy/src/router/choice.rs
@@ -1,4 +1,4 @@
-//! Choice among a service's upstreams.
+//! Selection among the upstreams of a service.
 
 use super::{
     Attempt, Pick, Reason, Refusal, RefusalKind, Router, Seen, Service, ServiceKey, Upstream,
@@ -9,42 +9,42 @@
 use crate::time::Time;
 use std::time::Duration;
 
-/// Share of picks that try one on probation.
+/// Share of picks that probe each upstream on probation.
 const CANARY_SHARE: f64 = 0.05;
-/// Time over which a new upstream is ramped up.
+/// Slow-start period of a new upstream.
 const COLD_START: Duration = Duration::from_secs(10);
-/// Time after which a reported load says nothing more.
+/// Age at which a load report is ignored.
 const LOAD_LIFE: Duration = Duration::from_secs(2);
-/// Load report of an upstream whose slots are all busy and nothing waits.
+/// Reported load of an upstream whose slots are all busy and whose queue is empty.
 const LOAD_BUSY: f64 = 1.0;
-/// Load report up to which one more request is taken without a queue.
+/// Reported load from which an upstream counts as full, and upper bound of its cost.
 const LOAD_FULL: f64 = 2.0;
-/// Time for which an upstream's own word that it is leaving holds.
+/// Time for which an upstream's announcement of its shutdown remains valid.
 const DRAIN_MEMORY: Duration = Duration::from_secs(300);
-/// Cost of leaving the data hall, in outstanding requests.
+/// Cost of using another data hall, in outstanding requests.
 const HALL_COST: f64 = 0.5;
 
-/// Standing of an upstream at one moment, best first.
+/// Health class of an upstream; lower values are better.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Class {
     Preferred,
     Probation,
-    /// This box avoids it.
+    /// Avoided on evidence of this box alone.
     Avoided,
-    /// The collectors call it suspect.
+    /// Judged suspect by the collectors.
     Suspect,
-    /// A valid permit ejects it.
+    /// Ejected by a valid permit.
     Ejected,
 }
 
 impl Router {
-    /// Picks an upstream for one attempt and opens it.
+    /// Picks an upstream for one attempt and opens the attempt.
     ///
-    /// `tried` upstreams are left out. Canary requests go out only if the
-    /// request may be repeated, or if the service has none that may.
+    /// Skips the `tried` upstreams. Probes are sent only with requests that may be repeated, unless
+    /// the service allows no repeats at all.
     ///
     /// # Errors
-    /// A [`Refusal`] if there is none; nothing was sent then.
+    /// Returns a [`Refusal`] if no upstream is available; nothing has been sent then.
     pub fn pick(
         &mut self,
         service: ServiceKey,
@@ -81,7 +81,7 @@
         if let Some(u) = self.cheaper_of_two(&free, now) {
             return Ok(self.open_attempt(service, u, Reason::TwoChoices, now));
         }
-        // One that is avoided is still capacity: it gets work before a queue does.
+        // Avoided upstreams are used before requests queue at the preferred ones.
         let rest = of_class(&open, |c| c != Class::Preferred);
         if let Some(u) = self.cheaper_of_two(&rest, now) {
             return Ok(self.open_attempt(service, u, Reason::LastResort, now));
@@ -92,7 +92,7 @@
         Err(self.refuse(RefusalKind::Full, middle))
     }
 
-    /// Returns the state of every upstream, for operators.
+    /// Returns the status of all upstreams, for operators.
     #[must_use]
     pub fn status(&self, now: Time) -> Vec<UpstreamStatus> {
         self.services.values().flat_map(|s| self.service_status(s, now)).collect()
@@ -119,7 +119,7 @@
         self.classes(s, now).into_iter().map(row).collect()
     }
 
-    /// Classes a service's upstreams, never setting aside more than the floor spares.
+    /// Classifies the upstreams of a service, ejecting no more than the floor allows.
     fn classes(&self, s: &Service, now: Time) -> Vec<(UpstreamKey, Class)> {
         let valid = self.confirmed.is_some_and(|at| now.since(at) < LEASE);
         let mut all: Vec<(UpstreamKey, Class)> =
@@ -150,7 +150,7 @@
             return None;
         }
         let a = self.rng.usize(..from.len());
-        // The second draw is over the others, so two are compared if there are two.
+        // The second draw excludes the first, so that two different upstreams are compared.
         let b = (a + 1 + self.rng.usize(..from.len().max(2) - 1)) % from.len();
         let cost = |u: UpstreamKey| self.upstreams[u].cost(now);
         let (a, b) = (from[a], from[b]);
@@ -176,12 +176,12 @@
 }
 
 impl Upstream {
-    /// Returns whether it is leaving, by the list or by its own mark.
+    /// Returns whether the upstream is leaving, by the list or its own announcement.
     pub(super) fn is_gone(&self, now: Time) -> bool {
         self.leaving || self.drained.is_some_and(|at| now.since(at) < DRAIN_MEMORY)
     }
 
-    /// Returns how long it still wants nothing from this box.
+    /// Returns the remaining backoff that the upstream requested from this box.
     fn backoff_left(&self, now: Time) -> Duration {
         self.backoff.map_or(Duration::ZERO, |until| until.since(now))
     }
@@ -189,7 +189,7 @@
     fn class(&self, valid: bool, now: Time) -> Class {
         match self.permit {
             Some(Hold::Ejected) if valid => return Class::Ejected,
-            // A lapsed permit binds nobody; the suspicion behind it remains.
+            // An expired permit does not eject, but the upstream remains suspect.
             Some(Hold::Ejected) => return Class::Suspect,
             Some(Hold::Canary) => return Class::Probation,
             _ => {}
@@ -207,7 +207,7 @@
         }
     }
 
-    /// Says in a few words why it is classed so.
+    /// Returns a short reason for the class.
     fn reason(&self, c: Class, valid: bool) -> String {
         let by = self.witnesses;
         match c {
@@ -225,8 +225,8 @@
     fn fresh_load(&self, now: Time) -> f64 {
         let Some((load, at)) = self.load else { return 0.0 };
         let age = now.since(at).as_secs_f64() / LOAD_LIFE.as_secs_f64();
-        // A lying report moves the cost by two requests at most, and by one if the
-        // upstream answers as if nothing waited there.
+        // A false load report changes the cost by at most two requests, or by one if the response
+        // times show an empty queue.
         let most = if self.quick { LOAD_BUSY } else { LOAD_FULL };
         load.clamp(0.0, most) * (1.0 - age).max(0.0)
     }
@@ -237,7 +237,7 @@
 
     fn cost(&self, now: Time) -> f64 {
         let age = now.since(self.joined).as_secs_f64() / COLD_START.as_secs_f64();
-        // The clock starts at zero with the box, when every upstream looks new.
+        // Upstreams that were present when this box started are not new.
         let cold = if self.joined == Time::ZERO { 1.0 } else { 4.0 - 3.0 * age.min(1.0) };
         let hall = if self.near { 0.0 } else { HALL_COST };
         (1.0 + self.out as f64 + self.fresh_load(now) + hall) * cold
--- a/crates/honeypulley_policy/src/router/evidence.rs
+++ b/crates/honeypulley_policy/src/router/evidence.rs
@@ -1,4 +1,4 @@
-//! What attempts tell of the upstreams they went to.
+//! Records the results of attempts and reports them to the collectors.
 
 use super::{AttemptKey, Outcome, Router, UpstreamKey};
 use crate::collector::{Report, ReportItem};
@@ -8,39 +8,39 @@
 use crate::time::Time;
 use std::time::Duration;
 
-/// Deviations above the middle up to which an answer shows that nothing waits.
+/// Standard deviations above the median below which a response indicates an empty queue.
 const QUICK: f64 = 1.0;
-/// Shortest time between two reports on a service.
+/// Minimum interval between two reports on a service.
 const URGENT_GAP: Duration = Duration::from_millis(20);
-/// Shortest time between two reports that say nothing bad.
+/// Minimum interval between two reports without failures.
 const LAZY_GAP: Duration = Duration::from_secs(1);
-/// Bytes of one report on the wire, to both collectors.
+/// Size of one report on the wire to both collectors, in bytes.
 const REPORT_BYTES: f64 = 160.0;
-/// Bytes a second that reports with nothing bad may take.
+/// Bandwidth for reports without failures, in bytes per second.
 pub(super) const REPORT_RATE: f64 = 3_000.0;
-/// First hold of a box alone; doubles with each relapse.
+/// First hold by this box alone; doubles with each relapse.
 const OWN_HOLD: Duration = Duration::from_secs(2);
-/// Longest hold of a box alone.
+/// Upper bound of the hold by this box alone.
 const MAX_OWN_HOLD: Duration = Duration::from_secs(60);
-/// Good outcomes that end a box's own probation.
+/// Successes that end a probation set by this box.
 const OWN_PROBATION_GOOD: f64 = 3.0;
 
-/// Weight of lateness, in tenths, while the whole service is slowed.
+/// Weight of slow or stalled attempts, in tenths, while the whole service is slow.
 const RAISED_TENTHS: u16 = 1;
-/// Evidence that a box adds, in tenths, when its own outcomes convince it.
+/// Additional weight, in tenths, that is reported when this box ejects an upstream.
 const CONVINCED_TENTHS: u16 = 20;
-/// Bad outcomes of the last moments that a box alone needs to avoid an upstream.
+/// Recent failures that this box alone requires to avoid an upstream.
 const OWN_LEAST: f64 = 2.5;
-/// Half-life of the counts that show a trouble which all upstreams share.
+/// Half-life of the counts that detect a fault shared by all upstreams.
 pub(super) const OWN_SHORT_LIFE: Duration = Duration::from_secs(4);
 
-/// Score at which a box alone avoids an upstream.
+/// Returns the score from which this box alone avoids an upstream.
 pub(super) fn own_bar(lean: Lean) -> f64 {
     lean.mix(9.0, 11.0)
 }
 
 impl Router {
-    /// Records the head of an answer; `ok` is false for a failure answer.
+    /// Records the head of a response; `ok` is false for a failure response.
     pub fn answered(&mut self, k: AttemptKey, ok: bool, now: Time) {
         let Some(a) = self.attempts.get_mut(k) else { return };
         a.answered = true;
@@ -58,7 +58,7 @@
         self.witness(k, if slow { Evidence::Slow } else { Evidence::Good }, now);
     }
 
-    /// Records what an upstream said of itself in the head of an answer to an attempt.
+    /// Records the signals that an upstream sent in the head of a response.
     pub fn signalled(&mut self, k: AttemptKey, s: &Signals, now: Time) -> SignalChanges {
         let Some(upstream) = self.attempts.get(k).map(|a| a.upstream) else {
             return SignalChanges::default();
@@ -76,19 +76,21 @@
         SignalChanges { leaving, backoff: until.is_some(), ..SignalChanges::default() }
     }
 
-    /// Records the load that an upstream reported with an answer.
+    /// Records the load that an upstream reported with a response.
     ///
-    /// `load` is busy slots over all slots; over 1.0 something waits there.
+    /// `load` is the ratio of running and queued requests to slots, so values over 1.0 indicate a
+    /// queue.
     pub fn reported_load(&mut self, k: UpstreamKey, load: f64, now: Time) {
         if let Some(u) = self.upstreams.get_mut(k) {
             u.load = Some((load, now));
         }
     }
 
-    /// Records an upstream's own announcement of its shutdown.
+    /// Records that an upstream announced its shutdown.
     ///
-    /// It holds until the list shows it gone, or live after leaving, and for
-    /// five minutes at most, in case it restarts faster than the list lags.
+    /// The announcement is valid until the list no longer contains the upstream or shows it as live
+    /// after leaving. It expires after five minutes, in case the upstream restarts faster than the
+    /// list is updated.
     pub fn drained(&mut self, k: UpstreamKey, now: Time) {
         if let Some(u) = self.upstreams.get_mut(k) {
             u.drained = Some(now);
@@ -99,7 +101,7 @@
     pub fn finish(&mut self, k: AttemptKey, outcome: Outcome, now: Time) {
         match outcome {
             Outcome::Whole | Outcome::Abandoned => {}
-            // An upstream that rejects may be busy; if it alone does, it is sick.
+            // A busy upstream may reject requests, which is a fault only if the others do not.
             Outcome::NotRun => self.witness(k, Evidence::Slow, now),
             Outcome::Failed | Outcome::Refused | Outcome::Unreachable | Outcome::Misdirected => {
                 self.witness(k, Evidence::Failure, now);
@@ -118,9 +120,9 @@
         }
     }
 
-    /// Looks for stalled attempts and returns the reports that are due.
+    /// Detects stalled attempts and returns the reports that are due.
     ///
-    /// Call it each 10 to 20 ms.
+    /// Should be called every 10 to 20 ms.
     pub fn tick(&mut self, now: Time) -> Vec<Report> {
         let is_stalled = |a: &super::Attempt| {
             let limit = self.services.get(a.service).map(super::Service::stall_limit);
@@ -136,7 +138,7 @@
 
     fn witness(&mut self, k: AttemptKey, e: Evidence, now: Time) {
         let Some(a) = self.attempts.get_mut(k) else { return };
-        // A stalled attempt that ends well later has borne witness already.
+        // A stalled attempt has already been recorded when it ends later.
         if a.judged {
             return;
         }
@@ -156,7 +158,8 @@
         s.urgent |= bad > 0.0;
         u.own.after(sick, s.ledger.counts(a.upstream), now);
         if sick {
-            // From here on this box sends it little, so it says now how sure it is.
+            // From now on this box sends the upstream few requests, so it reports additional weight
+            // now.
             u.pending.1 = u.pending.1.saturating_add(CONVINCED_TENTHS);
             s.ledger.reset(a.upstream);
         }
@@ -190,7 +193,7 @@
 }
 
 impl super::OwnHold {
-    /// Moves between good standing, hold and probation.
+    /// Updates the hold and the probation of an upstream.
     fn after(&mut self, sick: bool, counts: (f64, f64), now: Time) {
         let held = self.until.is_some_and(|t| now < t);
         if sick && !held {
--- a/crates/honeypulley_policy/src/router/refusal.rs
+++ b/crates/honeypulley_policy/src/router/refusal.rs
@@ -1,39 +1,39 @@
-//! Why a request is sent nowhere, and when its caller may retry.
+//! Refusals of requests that are sent to no upstream.
 
 use std::time::Duration;
 
-/// Why no upstream was picked.
+/// Reason for which no upstream was picked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RefusalKind {
     /// The service has no live upstream.
     #[error("no live upstream")]
     NoUpstream,
-    /// Every live upstream holds all the connections this box may open.
+    /// This box has reached its connection limit to every live upstream.
     #[error("every upstream is full")]
     Full,
     /// The whole service is so slow that requests would miss their deadline.
     #[error("the service is overloaded")]
     Overload,
-    /// Every live upstream names a limit, and none of them has room.
+    /// The rate limits announced by the live upstreams are all exhausted.
     #[error("the limits that the upstreams name are used up")]
     Limited,
-    /// Every live upstream asked this box for a backoff, or has used up its limit.
+    /// Every live upstream requested a backoff from this box or has exhausted its limit.
     #[error("every upstream asked for a backoff")]
     Backoff,
-    /// The service's rate is used up.
+    /// The rate limit of the service is exhausted.
     #[error("the service's rate is used up")]
     Rate,
-    /// The caller's rate is used up.
+    /// The rate limit of the client is exhausted.
     #[error("the caller's rate is used up")]
     CallerRate,
 }
 
-/// A refusal: the request was not run, and when to come back.
+/// Refusal of a request that was not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{kind}; come back in {retry_after:?}")]
 pub struct Refusal {
-    /// Why.
+    /// Reason for the refusal.
     pub kind: RefusalKind,
-    /// Earliest time at which asking again makes sense.
+    /// Earliest time after which a retry is useful.
     pub retry_after: Duration,
 }
--- a/crates/honeypulley_policy/src/routes.rs
+++ b/crates/honeypulley_policy/src/routes.rs
@@ -1,4 +1,4 @@
-//! Routing table: which service takes a request, and how it may be treated.
+//! Routing table, which maps requests to services.
 
 use crate::organisations::Organisations;
 use crate::spec::ServiceSpec;
@@ -6,70 +6,70 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Which requests of a route may be sent to more than one upstream.
+/// Whether requests of a route may be sent to more than one upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestKind {
-    /// May be run more than once.
+    /// May run more than once.
     Safe,
-    /// Runs at most once.
+    /// Must run at most once.
     Unsafe,
-    /// Safe, with a large answer.
+    /// May run more than once and has a large response.
     Download,
 }
 
 impl RequestKind {
-    /// Returns whether a request of this kind may be repeated.
+    /// Returns whether requests of this kind may be repeated.
     #[must_use]
     pub const fn is_repeatable(self) -> bool {
         matches!(self, Self::Safe | Self::Download)
     }
 }
 
-/// One service that a route sends requests to.
+/// A service to which a route sends requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
-    /// Service name.
+    /// Name of the service.
     pub service: String,
-    /// Share of the requests, against the weights of the other targets.
+    /// Weight of the service relative to the other targets of the route.
     pub weight: u32,
 }
 
-/// One route.
+/// A route from a host and a path prefix to services.
 #[derive(Clone, Debug, PartialEq, Eq, bon::Builder)]
 pub struct Route {
-    /// Name, for logs.
+    /// Name used in logs.
     #[builder(into)]
     pub name: String,
-    /// Host it serves, in lower case.
+    /// Host name in lower case.
     #[builder(into)]
     pub host: String,
-    /// Path prefix, with a slash at both ends.
+    /// Path prefix, which begins and ends with a slash.
     #[builder(into)]
     pub prefix: String,
-    /// Kind of its requests.
+    /// Kind of the requests.
     pub kind: RequestKind,
-    /// Longest time that a request may be held.
+    /// Maximum time for which a request may be held.
     pub timeout: Option<Duration>,
-    /// Time within which an answer is wanted.
+    /// Target latency.
     pub aim: Option<Duration>,
-    /// Rank; zero goes first.
+    /// Priority; zero is the highest.
     #[builder(default)]
     pub priority: u8,
-    /// Most upstreams that one request may run on.
+    /// Maximum number of upstreams on which one request may run.
     #[builder(default = 1)]
     pub attempts: usize,
-    /// Whether callers need no key, though the table names organisations.
+    /// Whether clients need no key even if the table defines organisations.
     #[builder(default)]
     pub public: bool,
-    /// Services, at least one.
+    /// Target services, of which there is at least one.
     pub targets: Vec<Target>,
 }
 
 impl Route {
-    /// Returns the service for a draw from zero up to one.
+    /// Returns the target service for a random number from zero up to one.
     ///
     /// # Panics
-    /// Panics if the route has no target; a table refuses such routes.
+    /// Panics if the route has no target; [`RouteTable::new`] rejects such routes.
     #[must_use]
     pub fn target(&self, draw: f64) -> &str {
         let total: u32 = self.targets.iter().map(|t| t.weight).sum();
@@ -84,21 +84,21 @@
     }
 }
 
-/// What callers may send, and how long they may take.
+/// Size and time limits on requests from clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Longest head, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub head_bytes: usize,
-    /// Longest body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: u64,
-    /// Time for a whole head.
+    /// Timeout for receiving the request head.
     pub head_time: Duration,
-    /// Time that a connection may rest.
+    /// Timeout for idle connections.
     pub idle_time: Duration,
 }
 
 impl Default for CallerLimits {
-    /// Returns the limits that hold before any table names others.
+    /// Returns the limits that apply before a routing table is loaded.
     fn default() -> Self {
         Self {
             head_bytes: 16 * 1_024,
@@ -109,52 +109,52 @@
     }
 }
 
-/// All routes and services of one version.
+/// Routes and services of one version of the table.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
-    /// Version, which never goes back.
+    /// Version number, which increases monotonically.
     pub version: u64,
-    /// Services.
+    /// Settings of the services.
     pub services: Vec<ServiceSpec>,
-    /// Limits on callers.
+    /// Limits on requests from clients.
     pub limits: CallerLimits,
-    /// Organisations, if callers have to belong to one.
+    /// Organisations, if clients must belong to one.
     pub organisations: Option<Organisations>,
     routes: HashMap<String, Arc<Route>>,
 }
 
-/// Why a table was refused.
+/// Reason for which a routing table is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RouteError {
-    /// A route names no service.
+    /// A route has no target service.
     #[error("route {route} has no service")]
     NoTarget {
-        /// The route's name.
+        /// Name of the route.
         route: String,
     },
-    /// A route names a service that the table lacks.
+    /// A route refers to a service that is not in the table.
     #[error("route {route} names the service {service}, which is not there")]
     UnknownService {
-        /// The route's name.
+        /// Name of the route.
         route: String,
-        /// The service's name.
+        /// Name of the service.
         service: String,
     },
-    /// A prefix lacks its slashes.
+    /// A path prefix does not begin and end with a slash.
     #[error("route {route}: the prefix {prefix} must begin and end with a slash")]
     Prefix {
-        /// The route's name.
+        /// Name of the route.
         route: String,
-        /// The prefix.
+        /// Path prefix.
         prefix: String,
     },
 }
 
 impl RouteTable {
-    /// Builds a table from checked routes.
+    /// Creates a table after validating its routes.
     ///
     /// # Errors
-    /// Returns the first route that could not be served.
+    /// Returns an error for the first invalid route.
     pub fn new(
         version: u64,
         services: Vec<ServiceSpec>,
@@ -169,16 +169,16 @@
         Ok(Self { version, services, limits, organisations: None, routes: by_prefix })
     }
 
-    /// Sets the organisations that callers have to belong to.
+    /// Sets the organisations to which clients must belong.
     #[must_use]
     pub fn with_organisations(mut self, all: Organisations) -> Self {
         self.organisations = Some(all);
         self
     }
 
-    /// Returns the route with the longest prefix that begins the path.
+    /// Returns the route whose prefix is the longest match for the path.
     ///
-    /// Prefixes are compared by whole segments, since each ends with a slash.
+    /// Prefixes match whole path segments, since each of them ends with a slash.
     #[must_use]
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let whole = format!("{host}{path}");
@@ -198,7 +198,7 @@
         self.routes.len()
     }
 
-    /// Returns whether there is no route.
+    /// Returns whether the table has no routes.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.routes.is_empty()
--- a/crates/honeypulley_policy/src/spec.rs
+++ b/crates/honeypulley_policy/src/spec.rs
@@ -1,24 +1,24 @@
-//! Plain data that drives the policy: services and members.
+//! Settings of services and entries of the list of upstreams.
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Which requests of a service may be sent a second time.
+/// Whether requests of a service may be repeated.
 ///
-/// Source: RFC 9110 section 9.2.2 for `Reads`.
+/// The safe methods of `Reads` are those of RFC 9110, section 9.2.2.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Repeat {
-    /// Every request may be repeated.
+    /// All requests may be repeated.
     Always,
-    /// Only safe methods (GET, HEAD, OPTIONS) may be repeated.
+    /// Only requests with safe methods (GET, HEAD, OPTIONS) may be repeated.
     #[default]
     Reads,
-    /// No request may be repeated, whatever its method.
+    /// No requests may be repeated, regardless of the method.
     Never,
 }
 
 impl Repeat {
-    /// Returns whether a request with a safe or unsafe method may be repeated.
+    /// Returns whether a request may be repeated, given whether its method is safe.
     #[must_use]
     pub const fn allows(self, safe: bool) -> bool {
         match self {
@@ -29,23 +29,23 @@
     }
 }
 
-/// Lean between quick detection (0.0) and few false ejections (1.0).
+/// Trade-off between fast detection (0.0) and few false ejections (1.0).
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Lean(f64);
 
 impl Lean {
-    /// Quickest detection.
+    /// Fastest detection.
     pub const DETECTION: Self = Self(0.0);
     /// Fewest false ejections.
     pub const EXACTNESS: Self = Self(1.0);
 
-    /// Builds a lean, or `None` outside 0.0 to 1.0.
+    /// Creates a trade-off, or returns `None` unless `x` is within 0.0 to 1.0.
     #[must_use]
     pub fn new(x: f64) -> Option<Self> {
         (0.0..=1.0).contains(&x).then_some(Self(x))
     }
 
-    /// Mixes the value for detection with the value for exactness.
+    /// Interpolates linearly between the values for detection and for exactness.
     #[must_use]
     pub fn mix(self, detection: f64, exactness: f64) -> f64 {
         detection + (exactness - detection) * self.0
@@ -58,17 +58,17 @@
     }
 }
 
-/// How much healthy capacity a service must keep.
+/// Minimum capacity of a service that must not be ejected.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Floor {
-    /// A number of upstreams.
+    /// Number of upstreams.
     Count(usize),
-    /// A share of the listed upstreams, 0.0 to 1.0, rounded up.
+    /// Share of the listed upstreams, from 0.0 to 1.0, rounded up.
     Share(f64),
 }
 
 impl Floor {
-    /// Returns the share of `members` upstreams to keep.
+    /// Returns the floor as a share of `members` upstreams.
     #[must_use]
     pub fn share(self, members: usize) -> f64 {
         match self {
@@ -77,9 +77,9 @@
         }
     }
 
-    /// Returns the number of upstreams to keep out of `members`.
+    /// Returns the floor as a number of upstreams out of `members`.
     ///
-    /// At least one upstream is always kept.
+    /// The result is at least one.
     #[must_use]
     pub fn count(self, members: usize) -> usize {
         match self {
@@ -89,57 +89,57 @@
     }
 }
 
-/// What a bundle says of one service.
+/// Settings of one service, from a bundle.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, bon::Builder)]
 pub struct ServiceSpec {
     /// Name of the service.
     #[builder(into)]
     pub name: String,
-    /// Healthy capacity to keep.
+    /// Minimum capacity that must not be ejected.
     #[builder(default = Floor::Share(0.7))]
     pub floor: Floor,
     /// Which requests may be repeated.
     #[builder(default)]
     pub repeat: Repeat,
-    /// Longest time a request may take.
+    /// Maximum duration of a request.
     #[builder(default = Duration::from_secs(2))]
     pub deadline: Duration,
-    /// Retries and hedges allowed, as a share of successes.
+    /// Retries and hedged attempts allowed, as a share of successes.
     #[builder(default = 0.1)]
     pub retries: f64,
-    /// Lean between detection and false ejection.
+    /// Trade-off between fast detection and false ejections.
     #[builder(default)]
     pub lean: Lean,
-    /// Connections one upstream accepts from the whole fleet.
+    /// Connections that one upstream accepts from the whole fleet.
     #[builder(default = 220)]
     pub connections: usize,
-    /// Requests per second over the whole fleet, if limited.
+    /// Fleet-wide rate limit in requests per second, if there is one.
     pub rate: Option<f64>,
 }
 
-/// State of a member in the platform's lagging list.
+/// State of an upstream in the platform's lagging list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MemberState {
-    /// The member takes work.
+    /// Accepts new requests.
     #[default]
     Live,
-    /// The member is leaving and takes no new work.
+    /// Is shutting down and accepts no new requests.
     Leaving,
 }
 
-/// One upstream as the platform's lagging list shows it.
+/// Entry for one upstream in the platform's lagging list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
     /// Name, unique within the list.
     pub name: String,
-    /// Service the upstream belongs to.
+    /// Service to which the upstream belongs.
     pub service: String,
-    /// Address and port by IP number.
+    /// IP address and port.
     pub addr: String,
-    /// Data hall.
+    /// Data hall of the upstream.
     pub hall: String,
-    /// Live or leaving.
+    /// State of the upstream.
     #[serde(default)]
     pub state: MemberState,
 }
--- a/crates/honeypulley_policy/src/spread.rs
+++ b/crates/honeypulley_policy/src/spread.rs
@@ -1,29 +1,29 @@
-//! The usual spread of a service's answer times.
+//! Distribution of the response times of a service.
 
 use std::time::Duration;
 
-/// Weight of one new sample in the running mean and variance.
+/// Smoothing factor of the mean and the variance.
 const GAIN: f64 = 0.02;
-/// Deviations above the middle at which a sample is clipped.
+/// Standard deviations above the mean at which a sample is clipped.
 const CLIP: f64 = 2.0;
-/// Weight of one new sample in the mean of the last moments.
+/// Smoothing factor of the short-term mean.
 const FAST_GAIN: f64 = 0.1;
-/// Weight of one new sample in the long-run mean.
+/// Smoothing factor of the long-term mean.
 const BASE_GAIN: f64 = 0.001;
-/// Times the long-run middle at which the whole service counts as slowed.
+/// Factor over the long-term median from which the whole service counts as slow.
 ///
-/// One upstream in nine at ten times its usual time raises the middle by 1.3.
+/// One upstream in nine at ten times its usual response time raises the median by a factor of 1.3.
 const RAISED: f64 = 2.0;
-/// Samples before the spread is trusted.
+/// Number of samples before the statistics are used.
 const WARM: u32 = 20;
-/// Limit assumed while cold.
+/// Limit used until then.
 const COLD_LIMIT: Duration = Duration::from_millis(1_000);
-/// Shortest limit ever returned; shorter ones trip on scheduling noise.
+/// Lower bound of all limits; shorter limits are exceeded by scheduling jitter.
 const MIN_LIMIT: Duration = Duration::from_millis(20);
 
-/// A running mean and variance of the logarithm of answer times.
+/// Exponentially weighted mean and variance of the logarithm of response times.
 ///
-/// Answer times are close to log-normal, so limits are set in that space.
+/// Response times are approximately log-normal, so limits are computed on the logarithm.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Spread {
     mean: f64,
@@ -40,11 +40,11 @@
 }
 
 impl Spread {
-    /// Adds one answer time.
+    /// Adds one response time.
     ///
-    /// A sample over two deviations counts as two, so that one sick upstream
-    /// cannot teach the service that slow is usual. At four, one sick in nine
-    /// fed the variance by 16/9 of itself and it grew without bound.
+    /// Clips samples at two standard deviations, so that one unhealthy upstream cannot shift what
+    /// counts as the usual response time. With clipping at four, one unhealthy upstream in nine
+    /// added 16/9 of the variance to itself, so that it grew without bound.
     pub fn add(&mut self, d: Duration) {
         let x = d.as_secs_f64().max(1e-6).ln();
         self.seen = self.seen.saturating_add(1);
@@ -64,7 +64,7 @@
         self.var = (self.var + GAIN * (delta * delta - self.var)).max(0.01);
     }
 
-    /// Returns the answer time `k` deviations above the middle.
+    /// Returns the response time `k` standard deviations above the median.
     #[must_use]
     pub fn limit(&self, k: f64) -> Duration {
         if self.seen < WARM {
@@ -74,27 +74,27 @@
         Duration::from_secs_f64(secs.min(3_600.0)).max(MIN_LIMIT)
     }
 
-    /// Returns the middle answer time.
+    /// Returns the median response time.
     #[must_use]
     pub fn middle(&self) -> Duration {
         Duration::from_secs_f64(self.mean.exp().min(3_600.0))
     }
 
-    /// Returns whether the whole service answers far later than it used to.
+    /// Returns whether the whole service responds far slower than in the long term.
     ///
-    /// That is overload or the network, and says nothing of one upstream.
+    /// That indicates overload or a network fault rather than a fault of one upstream.
     #[must_use]
     pub fn is_raised(&self) -> bool {
         self.is_warm() && self.fast - self.base > RAISED.ln()
     }
 
-    /// Returns the middle answer time of the last moments.
+    /// Returns the short-term median response time.
     #[must_use]
     pub fn recent(&self) -> Duration {
         Duration::from_secs_f64(self.fast.exp().min(3_600.0))
     }
 
-    /// Returns whether enough samples were seen to trust the limits.
+    /// Returns whether there are enough samples for the limits to be used.
     #[must_use]
     pub const fn is_warm(&self) -> bool {
         self.seen >= WARM
--- a/crates/honeypulley_policy/tests/collector.rs
+++ b/crates/honeypulley_policy/tests/collector.rs
@@ -1,4 +1,4 @@
-//! Judgement from the evidence of many boxes.
+//! Tests the verdicts that a collector derives from the reports of many boxes.
 
 use honeypulley_policy::collector::{Collector, Judgement, NameId, Report, ReportItem, Verdict};
 use honeypulley_policy::spec::{Floor, Lean};
@@ -31,7 +31,7 @@
     }
 }
 
-/// Sends one report of each box and returns all verdicts.
+/// Sends one report per box and returns all verdicts.
 fn round(
     c: &mut Collector,
     at: u64,
@@ -62,7 +62,7 @@
 #[test]
 fn a_service_with_little_traffic_is_judged_too() {
     let mut c = collector(Lean::DETECTION);
-    // Each upstream is asked once in two seconds, over all boxes.
+    // Over all boxes, each upstream receives one request in two seconds.
     for t in 0..60 {
         let b = t as usize % BOXES;
         let one = report(b, &(0..N).map(|u| (u, 1, 0)).collect::<Vec<_>>());
@@ -94,11 +94,11 @@
 
 #[test]
 fn boxes_that_suspect_many_are_themselves_doubted() {
-    // A floor that would spare five, so that it is not the floor that refuses.
+    // This floor would allow five ejections, so it is not the reason that there are none.
     let mut c = Collector::new("tilldogs", Lean::DETECTION, Floor::Count(4));
     c.set_members((0..N).map(up), BOXES);
     healthy(&mut c);
-    // Four boxes behind one bad switch see four of nine upstreams stall.
+    // Four boxes behind one faulty switch see four of nine upstreams stall.
     for t in 0..20 {
         for b in 0..4 {
             let many = [(0, 0, 10), (1, 0, 10), (2, 0, 10), (3, 0, 10)];
@@ -130,7 +130,7 @@
     let mut c = collector(Lean::DETECTION);
     c.set_members((0..N).map(up), 45);
     healthy(&mut c);
-    // Each box accuses two, and so each upstream has ten boxes against it.
+    // Each box accuses two upstreams, so ten boxes accuse each upstream.
     let said = |u: usize| if u == 3 { (3, 0, 10) } else { (u, 20, 10) };
     for t in 0..5 {
         for b in 0..45 {
@@ -146,7 +146,7 @@
     healthy(&mut c);
     let mut suspects = 0;
     for t in 0..100 {
-        // Five of nine are sick, one after the other; the floor spares three.
+        // Five of nine become unhealthy one after the other; the floor allows three ejections.
         let sick = (t / 20) as usize;
         let v = round(&mut c, 20_000 + t * 30, |_| vec![(sick, 0, 10)]);
         suspects += v.iter().filter(|v| v.judgement == Judgement::Suspect).count();
--- a/crates/honeypulley_policy/tests/floor.rs
+++ b/crates/honeypulley_policy/tests/floor.rs
@@ -1,7 +1,7 @@
-//! Work for upstreams that are well while most of their service hangs.
+//! Tests that healthy upstreams receive requests while most of their service hangs.
 //!
-//! The boxes of one data hall decide together, as in a fleet: what one tells is heard by
-//! the others at once. No sockets, no clock; the same verdict at each run.
+//! The boxes of one simulated data hall exchange their news without delay. The simulation uses no
+//! sockets and no clock, so it gives the same result in each run.
 
 use honeypulley_policy::balance::{Balancer, Listed, Reach, RetryRule};
 use honeypulley_policy::chooser::{Ask, Chooser};
@@ -13,20 +13,20 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Time that work takes on an upstream that is well, in ms.
+/// Processing time on a healthy upstream, in ms.
 const WORK_MS: u64 = 210;
-/// Time after which a connection that does not come up is given up, in ms.
+/// Connection timeout, in ms.
 const CONNECT_MS: u64 = 200;
-/// Time after which a request is given up, in ms.
+/// Request timeout, in ms.
 const TIMEOUT_MS: u64 = 1_000;
 /// Step of the simulated time, in ms.
 const STEP_MS: u64 = 10;
-/// Span in which most upstreams that are well have to get work, in ms.
+/// Window in which most healthy upstreams must receive a request, in ms.
 const SPAN_MS: u64 = 2_000;
-/// Share of them that has to.
+/// Share of the healthy upstreams that must receive a request in each window.
 const FLOOR_SHARE: f64 = 0.7;
 
-/// One attempt that waits for its answer.
+/// An attempt that awaits its response.
 #[derive(Debug)]
 struct Waiting {
     from: usize,
@@ -35,16 +35,16 @@
     outcome: Outcome,
 }
 
-/// Boxes of one data hall before one service.
+/// The boxes of one data hall that send requests to one service.
 #[derive(Debug)]
 struct Hall {
     boxes: Vec<Balancer>,
     waiting: Vec<Waiting>,
     hangs_from: u64,
     hanging: BTreeSet<String>,
-    /// The first boxes, which reach no upstream.
+    /// Number of boxes, counted from the first, that cannot connect to any upstream.
     cut: usize,
-    /// When each upstream was sent something.
+    /// Times at which each upstream was sent a request.
     sent: BTreeMap<String, Vec<u64>>,
 }
 
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Plays some time, with a hundred requests a second by the boxes in turn.
+    /// Simulates one hundred requests per second, sent by the boxes in turn.
     fn play(&mut self, until: u64, repeatable: bool) {
         for now in (STEP_MS..until).step_by(STEP_MS as usize) {
             self.step(now);
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Sends one request by a box.
+    /// Sends one request from a box.
     fn send(&mut self, from: usize, now: u64, repeatable: bool) {
         let at = Time::from_millis(now);
         let b = &mut self.boxes[from];
@@ -98,7 +98,7 @@
         self.waiting.push(Waiting { from, key: pick.attempt, ends: now + took, outcome });
     }
 
-    /// Ends what is due, looks at the rest, and hands all news on.
+    /// Ends attempts that are due, checks the pending ones and delivers all news.
     fn step(&mut self, now: u64) {
         let at = Time::from_millis(now);
         for w in &self.waiting {
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Returns the upstreams that are well and were sent something in a span.
+    /// Returns the number of healthy upstreams that were sent a request in a window.
     fn working(&self, from: u64) -> usize {
         let is_in = |at: &u64| (from..from + SPAN_MS).contains(at);
         let well = self.sent.iter().filter(|(name, _)| !self.hanging.contains(*name));
@@ -154,7 +154,7 @@
     b
 }
 
-/// Tells whether most upstreams that are well got work in each span.
+/// Asserts that enough healthy upstreams received a request in each window.
 fn assert_floor(hall: &Hall, well: usize, spans: std::ops::Range<u64>) {
     for from in spans.step_by(500) {
         let working = hall.working(from);
@@ -175,8 +175,10 @@
     assert_floor(&hall, upstreams - hanging, 6_000..14_000);
 }
 
-/// On a grown deployment 8 of 13 upstreams that were well got nothing for two seconds:
-/// boxes that had lost their own paths told of them, and all others let them rest.
+/// Boxes that have lost their own network paths must not keep other boxes from sending.
+///
+/// Otherwise their failure reports make all other boxes avoid healthy upstreams: 8 of 13 healthy
+/// upstreams of a large deployment received no request for two seconds.
 #[rstest]
 #[case::repeatable(true)]
 #[case::unsafe_ones(false)]
--- a/crates/honeypulley_policy/tests/load/hall.rs
+++ b/crates/honeypulley_policy/tests/load/hall.rs
@@ -1,7 +1,7 @@
-//! A data hall in simulated time: its boxes, its upstreams with their spells, its callers.
+//! Discrete-event simulation of the boxes, upstreams and clients of one data hall.
 //!
-//! No sockets, no clock, the same course for a seed. What one box tells reaches the others
-//! after [`NEWS_MS`], as by datagram.
+//! The simulation uses no sockets and no clock, so a seed always gives the same result. News of one
+//! box reach the others after [`NEWS_MS`], as by datagram.
 
 use crate::plan::{Plan, Policy};
 use crate::worker::Worker;
@@ -18,27 +18,28 @@
 
 /// Step of the simulated time, in ms.
 const STEP_MS: u64 = 5;
-/// Time from what a box sees to all others, in ms: a datagram and a slow box's turn.
+/// Delay of news between boxes, in ms: a datagram, and scheduling on a busy box.
 const NEWS_MS: u64 = 15;
-/// Time for which the end of an attempt waits for other news of its box, in ms: so long for
-/// each box of the hall, and at the most, as boxes hold it.
+/// Time per box of the data hall for which finished attempts are batched, in ms.
+///
+/// Boxes limit the total to [`MOST_HOLD_MS`].
 const HOLD_A_BOX_MS: f64 = 2.5;
 const MOST_HOLD_MS: f64 = 150.0;
-/// Time of the way to an upstream and back, in ms.
+/// Network round trip to an upstream, in ms.
 const WAY_MS: u64 = 3;
-/// Time after which a connection that does not come up is given up, in ms.
+/// Connection timeout, in ms.
 const CONNECT_MS: u64 = 200;
-/// Requests that an upstream holds beyond its slots before it turns more away.
+/// Length of an upstream's queue, beyond which it rejects requests.
 const QUEUE: usize = 12;
-/// Time given to a request, and its aim, in ms.
+/// Request timeout and target latency, in ms.
 const LIMIT_MS: u64 = 8_000;
 const AIM_MS: u64 = 1_500;
-/// Upstreams that one request is sent to at the most.
+/// Maximum number of upstreams to which one request is sent.
 const MOST_SENDS: usize = 4;
-/// Time at the beginning that is not counted: a box spreads its work in it.
+/// Warm-up time that is excluded from the results, in ms.
 const WARM_MS: u64 = 8_000;
 
-/// How requests ended.
+/// Numbers of requests by result.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Count {
     pub sent: usize,
@@ -46,9 +47,9 @@
     pub late: usize,
     pub refused: usize,
     pub failed: usize,
-    /// Sends beyond the first.
+    /// Number of retries.
     pub again: usize,
-    /// First sends that were trials.
+    /// Number of first attempts that were probes.
     pub trials: usize,
 }
 
@@ -62,46 +63,49 @@
     }
 }
 
-/// What a hall did, by whether requests may be repeated.
+/// Results of a simulation; orders must not be repeated, reads may be.
 #[derive(Clone, Debug, Default)]
 pub struct Report {
     pub orders: Count,
     pub reads: Count,
-    /// Least share of the upstreams that were well which got work in two seconds.
+    /// Minimum share of the healthy upstreams that received a request within two seconds.
     pub floor: f64,
-    /// Most sends of one box between half a second after a rejection and the end of its backoff.
+    /// Most attempts of one box from half a second after a rejection to the end of its backoff.
     pub most_in_backoff: usize,
-    /// Sends that were rejected.
+    /// Number of rejected attempts.
     pub rejected: usize,
-    /// The same of the spans in which much is lost, as the users count the floor: more than a
-    /// tenth of the requests sent in it, and less than half.
+    /// Minimum of the same share over windows in which many requests are lost.
+    ///
+    /// As in the operators' definition of the floor, these are windows in which more than a tenth
+    /// and less than half of the requests are lost.
     pub floor_in_trouble: f64,
-    /// Most requests that an upstream in need got in four seconds, from a while after it
-    /// first named its limit.
+    /// Most requests that a rate-limited upstream received in four seconds.
+    ///
+    /// Counted from some time after it first announced its limit.
     pub most_sent: usize,
-    /// Requests that all of them got since, of those that their limits allow.
+    /// Requests that all rate-limited upstreams received, relative to their limits.
     pub limit_used: f64,
 }
 
-/// How a send ends.
+/// Result of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum End {
     Served,
     Fails,
-    /// Nothing comes until its time is up.
+    /// No response until the timeout.
     Hung,
     Shed,
-    /// No connection came up.
+    /// The connection timed out.
     Unreached,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Sent {
-    /// The attempt with the box's policy, if that chose.
+    /// Key of the attempt, if the policy under test picked the upstream.
     key: Option<AttemptKey>,
     ends: u64,
     end: End,
-    /// The limit that its answer names.
+    /// Rate limit announced in the response.
     limit: Option<f64>,
     worker: usize,
 }
@@ -115,26 +119,26 @@
     open: Option<Sent>,
 }
 
-/// A hall that plays a plan.
+/// A simulated data hall.
 #[derive(Debug)]
 struct Hall {
     plan: Plan,
     boxes: Vec<Balancer>,
     workers: Vec<Worker>,
     by_name: BTreeMap<String, usize>,
-    /// How each box calls each upstream, once it has sent there.
+    /// Upstream keys of each box, valid for the upstreams to which it has sent requests.
     keys: Vec<Vec<UpstreamKey>>,
     news: VecDeque<(u64, usize, Vec<News>)>,
-    /// Ends of attempts that each box has not told yet, and when they came.
+    /// Batched news of each box and the times at which they arose.
     held: Vec<Vec<(u64, News)>>,
     requests: Vec<Request>,
-    /// When each request came, and whether it was served.
+    /// Start time of each request and whether it was served.
     outcomes: Vec<(u64, bool)>,
     rng: fastrand::Rng,
     report: Report,
 }
 
-/// Plays a plan for so many seconds.
+/// Simulates a plan for `secs` seconds.
 pub fn play(plan: Plan, secs: u64) -> Report {
     let until = secs * 1_000;
     let mut hall = Hall::new(plan, until);
@@ -176,7 +180,7 @@
         }
     }
 
-    /// Returns the counts that a request belongs to; those of the beginning are thrown away.
+    /// Updates the counts for the kind of a request, unless it started during the warm-up.
     fn count(&mut self, r: &Request, add: impl Fn(&mut Count)) {
         if r.began >= WARM_MS {
             add(if r.repeatable { &mut self.report.reads } else { &mut self.report.orders });
@@ -197,7 +201,7 @@
         }
     }
 
-    /// Returns the time given to a request, in ms.
+    /// Returns the timeout of a request, in ms.
     fn limit(&self) -> u64 {
         if self.plan.fails_ms > 0 { self.plan.fails_ms } else { LIMIT_MS }
     }
@@ -214,7 +218,7 @@
         }
     }
 
-    /// Sends a request once; tells whether it was sent.
+    /// Sends a request once and returns whether an upstream was available.
     fn send(&mut self, r: &mut Request, now: u64) -> bool {
         let chosen = match self.plan.policy {
             Policy::Ours => self.ask_box(r, now),
@@ -255,7 +259,7 @@
         (0..self.plan.upstreams).filter(|i| !r.tried.contains(i))
     }
 
-    /// Has an upstream take a request; returns when it answers, and how.
+    /// Lets an upstream process a request; returns when and how the attempt ends.
     fn work(&mut self, from: usize, i: usize, now: u64) -> (u64, End) {
         let plan = self.plan;
         if from < plan.cut.boxes && i < plan.cut.upstreams {
@@ -276,7 +280,7 @@
             w.ends.push(now + plan.fails_ms);
             return (now + plan.fails_ms, End::Hung);
         }
-        // One request in 33 takes two and a half times as long.
+        // One request in 33 takes 2.5 times as long.
         let long = if self.rng.f64() < 0.03 { 2.5 } else { 1.0 };
         let took = plan.work_ms * (0.6 + 0.8 * self.rng.f64()) * long;
         let ends = w.free_at(plan.slots, now) + took as u64;
@@ -309,7 +313,7 @@
         }
     }
 
-    /// Ends a request that is due, or sends it again as the serving path does.
+    /// Ends a request that is due, or retries it as the serving path does.
     fn go_on(&mut self, mut r: Request, now: u64) {
         let at = Time::from_millis(now);
         let Some(sent) = r.open else { return };
@@ -341,7 +345,7 @@
         let ask = self.ask(r, now);
         let b = &mut self.boxes[r.from];
         if end == End::Unreached {
-            // Nothing was sent, so another send costs no budget.
+            // Nothing was sent, so a retry costs no budget.
             return r.tried.len() < MOST_SENDS;
         }
         (r.repeatable || end == End::Shed)
@@ -350,7 +354,7 @@
             && b.spend_retry(ask.service, Resend::Failed, Time::from_millis(now))
     }
 
-    /// Tells the box how a send ended.
+    /// Reports the result of an attempt to the box.
     fn end(&mut self, from: usize, sent: &Sent, at: Time) {
         let Some(key) = sent.key else { return };
         let b = &mut self.boxes[from];
@@ -376,8 +380,10 @@
         b.finish(key, outcome, at);
     }
 
-    /// Returns the most that an upstream in need got in four seconds, and how much of what
-    /// their limits allow all of them got.
+    /// Returns the most requests to a limited upstream in four seconds, and the limits' usage.
+    ///
+    /// The usage is the number of requests to all limited upstreams relative to what their limits
+    /// allow.
     fn limits(&self, until: u64) -> (usize, f64) {
         const WINDOW_MS: u64 = 4_000;
         const CONTACT_MS: u64 = 3_000;
@@ -394,7 +400,7 @@
         (most, all.iter().map(Vec::len).sum::<usize>() as f64 / allowed.max(1.0))
     }
 
-    /// Returns the share of the requests of a span that were not served.
+    /// Returns the share of the requests of a window that were not served.
     fn lost(&self, span: &Range<u64>) -> f64 {
         let came = self.outcomes.iter().filter(|(began, _)| span.contains(began));
         let (sent, lost) =
@@ -402,8 +408,9 @@
         f64::from(lost) / f64::from(sent).max(1.0)
     }
 
-    /// Returns the least share of upstreams that were well which got work in two seconds, of the
-    /// spans whose share of lost requests counts.
+    /// Returns the minimum share of healthy upstreams that received a request in a window.
+    ///
+    /// Considers windows of two seconds for which `counts` accepts the share of lost requests.
     fn floor(&self, until: u64, counts: impl Fn(f64) -> bool) -> f64 {
         let share = |from: u64| {
             let span = from..from + 2_000;
--- a/crates/honeypulley_policy/tests/load/main.rs
+++ b/crates/honeypulley_policy/tests/load/main.rs
@@ -1,7 +1,7 @@
-//! Loads of the deployments' kinds, played by a data hall in simulated time.
+//! Simulates the load of typical deployments in one data hall.
 //!
-//! Each pattern is played by our policy, by a naive one and by an oracle that is told each
-//! spell as it begins, so that a figure says how much of what can be had is had.
+//! Each load is run with the policy under test, with a naive policy and with an oracle that knows
+//! every fault, so that the results can be compared with the attainable ones.
 
 mod hall;
 mod plan;
@@ -11,17 +11,18 @@
 use plan::{Cut, Need, Plan, Policy, Sheds};
 use rstest::rstest;
 
-/// Seconds that each plan is played.
+/// Simulated seconds per run.
 const SECS: u64 = 30;
-/// Seeds over which figures are taken.
+/// Number of seeds per result.
 const SEEDS: u64 = 4;
 
-/// A calm half minute of a hall of a large fleet.
+/// Thirty seconds of low load in one data hall of a large fleet.
 ///
-/// 58 boxes before 57 upstreams of three slots, a fifth of them busy; work of 320 ms; 1.2 in
-/// 100 requests fail after it wherever they are. The boxes' logs of a fleet of 293 show a
-/// spell of failures in 27 s of work of an upstream, in which three quarters of the requests
-/// fail at once, and of those that failed so 81, 59 and 25 in 100 still ill after 3, 4 and 6 s.
+/// 58 boxes send requests to 57 upstreams with three slots each, a fifth of which are busy.
+/// Processing takes 320 ms, after which 1.2 % of all requests fail on any upstream. In the logs of
+/// a fleet of 293 boxes, each upstream becomes faulty once in 27 s of processing time. Three
+/// quarters of the requests to it then fail at once, and 81 %, 59 % and 25 % of the faulty
+/// upstreams are still faulty after 3 s, 4 s and 6 s.
 const CALM: Plan = Plan {
     policy: Policy::Ours,
     boxes: 58,
@@ -41,27 +42,28 @@
     need: Need { upstreams: 0, rate: 0.0, from: 0 },
     seed: 1,
 };
-/// The same in a hall of a small fleet, where nearly all upstreams are needed for the floor.
+/// Low load in a data hall of a small fleet, where the floor needs nearly all upstreams.
 const SMALL: Plan = Plan { boxes: 12, upstreams: 6, orders: 21.0, reads: 3.0, ..CALM };
-/// The same where upstreams fall ill twice as often.
+/// Low load with upstreams that become faulty twice as often.
 const PRONE: Plan = Plan { gap_s: 13.0, ..CALM };
-/// The same where upstreams fall ill every twelve seconds, so that much fails.
+/// Low load with upstreams that become faulty every twelve seconds, so that many requests fail.
 const ILL: Plan = Plan { gap_s: 7.0, ..CALM };
-/// The same where a fifth of the boxes does not reach two fifths of the upstreams.
+/// Low load where a fifth of the boxes cannot connect to two fifths of the upstreams.
 ///
-/// They try others at once, so nothing is lost by it.
+/// The boxes retry on other upstreams at once, so no requests are lost.
 const CUT: Plan = Plan { cut: Cut { boxes: 12, upstreams: 23 }, ..CALM };
-/// The same with half of the slots busy.
+/// Low load with half of the slots busy.
 const BUSY: Plan = Plan { orders: 200.0, ..CALM };
-/// The same where all upstreams turn 45 in 100 requests away for ten seconds, though they
-/// have room: what the retry budget allows binds.
+/// Low load where all upstreams reject 45 % of the requests for ten seconds.
+///
+/// The upstreams have free slots, so the retry budget is the limiting factor.
 const SHEDDING: Plan = Plan { sheds: Sheds { from: 10_000, to: 20_000, share: 0.45 }, ..CALM };
 
-/// A hall of a fleet whose upstreams let requests hang when they fall ill.
+/// Load of a fleet whose faulty upstreams leave requests pending.
 ///
-/// 38 boxes before 40 upstreams of three slots, a third of them busy by 156 orders a second of
-/// 240 ms; three in four requests of a spell hang until the route's 3 s are over. Sheet of
-/// the deployment whose orders grew to four in ten of all requests.
+/// 38 boxes send 156 orders per second of 240 ms to 40 upstreams with three slots each, a third of
+/// which are busy. Three quarters of the requests to a faulty upstream hang until the route's
+/// timeout of 3 s. Modelled on the deployment whose orders grew to 40 % of all requests.
 const HANGING: Plan = Plan {
     boxes: 38,
     upstreams: 40,
@@ -72,12 +74,11 @@
     ..CALM
 };
 
-/// Downloads of a fleet whose route has no time of its own, so that they hang for all that
-/// their callers wait.
+/// Downloads on a route without a timeout, which hang until the client gives up.
 ///
-/// 113 boxes before 16 upstreams of three slots, a third of them busy by 77 downloads a second of
-/// 200 ms; three in four of a spell hang for eight seconds. Sheet of the deployment whose
-/// upstreams hang when they fall ill.
+/// 113 boxes send 77 downloads per second of 200 ms to 16 upstreams with three slots each, a third
+/// of which are busy. Three quarters of the requests to a faulty upstream hang for eight seconds.
+/// Modelled on the deployment whose faulty upstreams leave requests pending.
 const DOWNLOADS: Plan = Plan {
     boxes: 113,
     upstreams: 16,
@@ -88,9 +89,10 @@
     ..CALM
 };
 
-/// A small hall, two of whose upstreams take 2.2 requests a second, somewhat over half of their work.
+/// A small data hall where two upstreams announce a limit of 2.2 requests per second.
 ///
-/// Seen on a fleet of forty boxes: 2 and 3.1 a second named, 6 and 10 sent.
+/// The limit is somewhat over half of their usual traffic. On a fleet of forty boxes, upstreams
+/// that announced limits of 2 and 3.1 requests per second were sent 6 and 10.
 const IN_NEED: Plan = Plan {
     boxes: 12,
     upstreams: 10,
@@ -99,18 +101,18 @@
     need: Need { upstreams: 2, rate: 2.2, from: 10_000 },
     ..CALM
 };
-/// The same where each takes one a second.
+/// The same with limits of one request per second.
 const IN_GREAT_NEED: Plan =
     Plan { need: Need { upstreams: 2, rate: 1.0, from: 10_000 }, ..IN_NEED };
-/// A hall of a large fleet where all upstreams take half of what they are asked for.
+/// A large fleet where all upstreams announce a limit of half of their usual traffic.
 const ALL_IN_NEED: Plan = Plan { need: Need { upstreams: 57, rate: 1.0, from: 10_000 }, ..CALM };
-/// The same with a tenth of it: each box has a request an upstream in nearly a minute.
+/// The same with a tenth of the traffic, or nearly one minute per box and upstream.
 const ALL_IN_GREAT_NEED: Plan =
     Plan { need: Need { upstreams: 57, rate: 0.2, from: 10_000 }, ..CALM };
 
-/// Means over the seeds, but for the floor, which is the least.
+/// Means over all seeds, except for the floor, which is the minimum.
 struct Means {
-    /// Orders that were not served.
+    /// Share of orders that were not served.
     lost: f64,
     floor: f64,
 }
@@ -132,8 +134,10 @@
     Means { lost, floor }
 }
 
-/// Orders lost when each upstream had to get work every 1.65 s: 0.046, 0.021 and 0.076 (mean
-/// of sixteen seeds). The bounds leave room for four seeds.
+/// Guards against sending requests to faulty upstreams only to keep the floor.
+///
+/// When each upstream had to receive a request every 1.65 s, 0.046, 0.021 and 0.076 of the orders
+/// were lost (mean of sixteen seeds). The bounds allow for the variance of four seeds.
 #[rstest]
 #[case::calm(CALM, 0.031)]
 #[case::small(SMALL, 0.025)]
@@ -163,8 +167,10 @@
     assert!(ours.lost <= oracle.lost + 0.035, "{} and {}", ours.lost, oracle.lost);
 }
 
-/// The users' bound: in four seconds half of a limit again, and five requests. What a limit
-/// allows is used, since those who name one are in need and not ill.
+/// The operators' bound is 1.5 times the limit over four seconds, plus five requests.
+///
+/// The limits must also be used up to a minimum, since an upstream that announces a limit is not
+/// faulty.
 #[rstest]
 #[case::two(IN_NEED, SECS, 0.6)]
 #[case::two_more(IN_GREAT_NEED, SECS, 0.6)]
@@ -191,13 +197,14 @@
     assert!(need.lost <= calm.lost + 0.01, "{} and {}", need.lost, calm.lost);
 }
 
-/// Upstreams of few slots that hang when they fall ill, before callers that wait for eight
-/// seconds: some are well again for two seconds and more and get nothing for two, while more than
-/// a tenth of the requests are lost.
+/// Guards against starving recovered upstreams of downloads while many requests are lost.
 ///
-/// Two or three requests still hang on each, from its spell. One with a free slot rests for two
-/// to four seconds from when the hang was noticed, which is seconds after the request was sent;
-/// one whose slots all hang gets no trial at all.
+/// Clients wait for eight seconds, so two or three requests from the fault still hang on each
+/// upstream with few slots after it has recovered. An upstream with a free slot is avoided for two
+/// to four seconds from when the hang was detected, which is seconds after the request was sent. An
+/// upstream whose slots all hang gets no probe. Upstreams that had been healthy for over two
+/// seconds then received no request for two seconds, while more than a tenth of the requests were
+/// lost.
 #[rstest]
 #[case::every_18_s(13.0, 1)]
 #[case::every_12_s(7.0, 3)]
@@ -206,13 +213,13 @@
     assert!(r.floor_in_trouble >= 0.7, "{} of those that were well had work", r.floor_in_trouble);
 }
 
-/// Requests a second that the upstreams of a plan can work on.
+/// Returns the requests per second that all upstreams of a plan can process.
 fn capacity(plan: &Plan) -> f64 {
-    // One request in 33 takes two and a half times as long.
+    // One request in 33 takes 2.5 times as long.
     (plan.upstreams * plan.slots) as f64 * 1e3 / (plan.work_ms * 1.045)
 }
 
-/// Prints what is served where rejections ask for a backoff, by load and length.
+/// Prints the served requests where rejections request a backoff, by load and duration.
 #[test]
 #[ignore = "prints figures, and plays for minutes"]
 fn figures_of_backoffs() {
@@ -242,7 +249,7 @@
     }
 }
 
-/// Prints what twelve seeds of each load lose, for comparisons of ways to choose.
+/// Prints the lost requests of each load over twelve seeds, to compare policies.
 #[test]
 #[ignore = "prints figures, and plays for half a minute"]
 fn figures_of_the_loads() {
@@ -261,7 +268,7 @@
     }
 }
 
-/// Prints the least floor while much fails, of downloads that hang.
+/// Prints the minimum floor of hanging downloads while many requests are lost.
 #[test]
 #[ignore = "prints figures"]
 fn figures_of_downloads() {
--- a/crates/honeypulley_policy/tests/load/plan.rs
+++ b/crates/honeypulley_policy/tests/load/plan.rs
@@ -1,17 +1,17 @@
-//! What a simulated data hall is, and what troubles it.
+//! Parameters of a simulated data hall and its faults.
 
-/// Who chooses where a request goes.
+/// Policy that picks upstreams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
-    /// The boxes' own beliefs.
+    /// The policy under test.
     Ours,
-    /// The less busy of two drawn at random, which knows nothing of failures.
+    /// The less busy of two upstreams drawn at random, without regard to failures.
     Naive,
-    /// The least busy one, told of each spell as it begins.
+    /// The least busy upstream without a fault at the time.
     Oracle,
 }
 
-/// From which ms to which all upstreams turn a share of requests away at once.
+/// Period in ms during which all upstreams reject a share of the requests at once.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Sheds {
     pub from: u64,
@@ -19,54 +19,54 @@
     pub share: f64,
 }
 
-/// The first boxes of a hall, which do not reach the first upstreams of it.
+/// Numbers of boxes, and of upstreams to which these boxes cannot connect.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Cut {
     pub boxes: usize,
     pub upstreams: usize,
 }
 
-/// The first upstreams of a hall, which name a limit in their answers from a moment on.
+/// Upstreams that announce a rate limit in their responses.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Need {
     pub upstreams: usize,
-    /// Requests a second that each of them takes from all boxes together.
+    /// Limit of each upstream for requests from all boxes, per second.
     pub rate: f64,
-    /// From when, in ms.
+    /// Time of the first announcement, in ms.
     pub from: u64,
 }
 
 impl Need {
-    /// Returns the limit that the answer of an upstream names.
+    /// Returns the rate limit in a response of an upstream, if there is one.
     pub fn limit(&self, upstream: usize, now: u64) -> Option<f64> {
         (upstream < self.upstreams && now >= self.from).then_some(self.rate)
     }
 }
 
-/// What a hall is and what troubles it.
+/// Parameters of a simulation.
 #[derive(Clone, Copy, Debug)]
 pub struct Plan {
     pub policy: Policy,
     pub boxes: usize,
     pub upstreams: usize,
     pub slots: usize,
-    /// Requests a second that may not be repeated, and that may.
+    /// Requests per second that must not be repeated (orders) and that may be (reads).
     pub orders: f64,
     pub reads: f64,
-    /// Middle of the time that work takes, in ms.
+    /// Mean processing time, in ms.
     pub work_ms: f64,
-    /// Share of requests that fail after their work, whatever the upstream.
+    /// Share of requests that fail after processing on any upstream.
     pub base: f64,
-    /// Seconds from the end of a spell to the next one of an upstream, on average.
+    /// Mean time from the end of a fault to the next one of the same upstream, in seconds.
     pub gap_s: f64,
-    /// Seconds that a spell lasts, on average.
+    /// Mean duration of a fault, in seconds.
     pub spell_s: f64,
-    /// Share of requests that fail at once in a spell.
+    /// Share of requests that fail during a fault.
     pub fails: f64,
-    /// Time after which those end, in ms: at once, or hanging until their time is up.
+    /// Time after which these requests fail, in ms; zero for at once, else they hang.
     pub fails_ms: u64,
     pub sheds: Sheds,
-    /// Backoff that each rejection asks for, in ms; zero for none.
+    /// Backoff requested by each rejection, in ms, or zero for none.
     pub backoff_ms: u64,
     pub cut: Cut,
     pub need: Need,
--- a/crates/honeypulley_policy/tests/load/worker.rs
+++ b/crates/honeypulley_policy/tests/load/worker.rs
@@ -1,31 +1,31 @@
-//! An upstream of a simulated data hall, with its spells and what it was sent.
+//! A simulated upstream with its faults and its requests.
 
 use crate::plan::Plan;
 
 #[derive(Debug, Default)]
 pub struct Worker {
-    /// From when to when it is ill.
+    /// Start and end of each fault.
     pub spells: Vec<(u64, u64)>,
-    /// When each request there ends.
+    /// End of each request.
     pub ends: Vec<u64>,
     pub sent: Vec<u64>,
-    /// Sends that it rejected.
+    /// Number of rejected requests.
     pub rejected: usize,
-    /// Backoffs that it asked boxes for.
+    /// Backoffs requested from boxes.
     backoffs: Vec<Backoff>,
 }
 
-/// A backoff that a rejection asked one box for.
+/// A backoff requested from one box by a rejection.
 #[derive(Debug)]
 struct Backoff {
     from: usize,
-    /// From when a send counts, in ms.
+    /// Time from which attempts count, in ms.
     since: u64,
     until: u64,
     sends: usize,
 }
 
-/// Time after a rejection in which what is in flight may still come, in ms.
+/// Time for which requests may still be in flight after a rejection, in ms.
 const IN_FLIGHT_MS: u64 = 500;
 
 impl Worker {
@@ -41,20 +41,20 @@
         Self { spells, ..Self::default() }
     }
 
-    /// Rejects a request of a box.
+    /// Rejects a request from a box.
     pub fn reject(&mut self, from: usize, now: u64, plan: &Plan) {
         self.rejected += 1;
         let (since, until) = (now + IN_FLIGHT_MS, now + plan.backoff_ms);
         self.backoffs.push(Backoff { from, since, until, sends: 0 });
     }
 
-    /// Counts a send of a box against the backoffs that it was asked for.
+    /// Counts an attempt of a box against the backoffs requested from it.
     pub fn count_backoff(&mut self, from: usize, now: u64) {
         let bound = |b: &&mut Backoff| b.from == from && (b.since..b.until).contains(&now);
         self.backoffs.iter_mut().rev().take(4_000).filter(bound).for_each(|b| b.sends += 1);
     }
 
-    /// Returns the most sends within one backoff.
+    /// Returns the most attempts within one backoff.
     pub fn most_in_backoff(&self) -> usize {
         self.backoffs.iter().map(|b| b.sends).max().unwrap_or(0)
     }
@@ -67,12 +67,12 @@
         self.spells.iter().any(|&(from, to)| (from..to).contains(&now))
     }
 
-    /// Tells whether it was well from two seconds before a span to its end.
+    /// Returns whether there is no fault from two seconds before a window to its end.
     pub fn is_sound(&self, from: u64, to: u64) -> bool {
         self.spells.iter().all(|&(a, b)| b + 2_000 <= from || a >= to)
     }
 
-    /// Returns when one of its slots is free.
+    /// Returns the time at which a slot becomes free.
     pub fn free_at(&self, slots: usize, now: u64) -> u64 {
         let mut ends: Vec<u64> = self.ends.iter().copied().filter(|&e| e > now).collect();
         ends.sort_unstable();
--- a/crates/honeypulley_policy/tests/permits.rs
+++ b/crates/honeypulley_policy/tests/permits.rs
@@ -1,4 +1,4 @@
-//! The floor under stale views, paused boxes and any order of changes.
+//! Tests that the floor holds with stale views, paused boxes and any order of changes.
 
 use honeypulley_policy::permits::{FloorContext, Hold, LEASE, MARGIN, PermitError, PermitRecord};
 use proptest::prelude::*;
@@ -16,9 +16,9 @@
     Canary(usize),
     Release(usize),
     Retire(usize),
-    /// The platform confirms the newest record to a box.
+    /// The platform confirms the latest record to a box.
     Confirm(usize),
-    /// Time passes; boxes that were not confirmed are paused or cut off.
+    /// Time passes, during which boxes without a confirmation are paused or disconnected.
     Pass(u64),
 }
 
@@ -45,9 +45,9 @@
     confirmed: Option<u64>,
 }
 
-/// Runs the steps; returns the largest union of ejections over all boxes.
+/// Runs the steps and returns the largest union of ejections over all boxes.
 ///
-/// `wait` is what a writer waits before it frees a slot, in milliseconds.
+/// `wait` is the time for which a writer waits before it frees a slot, in milliseconds.
 fn largest_union(steps: &[Step], wait: u64) -> usize {
     let mut record = PermitRecord::default();
     let mut views = vec![View::default(); BOXES];
@@ -102,7 +102,7 @@
     if now - first < wait {
         return Err(PermitError::State);
     }
-    // The naive writer claims a wait that it did not make.
+    // Without a wait, the writer claims a waiting time that has not passed.
     let claimed = Duration::from_millis(now - first).max(if wait == 0 {
         LEASE + MARGIN
     } else {
@@ -122,7 +122,7 @@
 
 #[test]
 fn a_writer_that_frees_slots_at_once_breaks_the_floor() {
-    // The same steps as in the proof: two boxes that hold unlike views.
+    // Two boxes act on different views, the older of which still ejects the released upstreams.
     let steps = [
         Step::Eject(0),
         Step::Eject(1),
@@ -166,7 +166,7 @@
 fn upstreams_that_leave_count_against_the_floor() {
     let r =
         PermitRecord::default().eject("u0", FloorContext { live: 6, floor: 4 }).expect("allowed");
-    // One more left meanwhile: five live, one of them held.
+    // Another upstream has left: five are live, one of which is ejected.
     let refused = r.eject("u1", FloorContext { live: 5, floor: 4 });
     assert_eq!(refused, Err(PermitError::Floor { live: 5, held: 1, floor: 4 }));
 }
--- a/crates/honeypulley_policy/tests/placement.rs
+++ b/crates/honeypulley_policy/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Deterministic placement under churn, and the limits.
+//! Tests placement under churn, rate limits, the retry budget and latency statistics.
 
 use honeypulley_policy::limits::{Gcra, RetryBudget};
 use honeypulley_policy::placement::{Role, subset_size, top};
@@ -57,7 +57,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
-    /// Against a naive count of what was admitted in every window.
+    /// Compares with a count of the requests admitted in every window.
     #[test]
     fn no_window_admits_more_than_rate_and_burst(
         gaps in prop::collection::vec(0u64..200, 1..300),
--- a/crates/honeypulley_policy/tests/router.rs
+++ b/crates/honeypulley_policy/tests/router.rs
@@ -1,4 +1,4 @@
-//! One box's choices.
+//! Tests the routing decisions of one box.
 
 use honeypulley_policy::collector::{Judgement, NameId, Verdict};
 use honeypulley_policy::permits::{FloorContext, LEASE, PermitRecord, PermitView};
@@ -63,7 +63,7 @@
     }
 }
 
-/// Picks and closes `n` times; returns how often each upstream was picked.
+/// Opens and closes `n` attempts and returns the number of picks per upstream.
 fn spread(
     r: &mut Router,
     k: ServiceKey,
@@ -86,7 +86,7 @@
     r.set_permits(&view(&["u0"], Time::from_millis(1_000)));
     let within = Time::from_millis(1_000) + (LEASE - Duration::from_millis(1));
     assert!(!spread(&mut r, k, 500, true, within).contains_key("u0"));
-    // After the lease, as after a pause: it is avoided, and there if needed.
+    // After the lease has expired, as after a pause, the upstream is only a last resort.
     let lapsed = Time::from_millis(1_000) + LEASE;
     let picks: Vec<Pick> = std::iter::from_fn(|| r.pick(k, true, &[], lapsed).ok()).collect();
     let last = picks.iter().filter(|p| p.reason == Reason::LastResort).count();
@@ -116,7 +116,7 @@
     let mut list: Vec<Member> = (0..N).map(member).collect();
     list[4].state = MemberState::Leaving;
     r.set_members(&list, 2, now);
-    // Four live and a floor of three: one of the two must work again.
+    // With four live upstreams and a floor of three, one of the two must receive requests again.
     let used = spread(&mut r, k, 300, true, now);
     assert_eq!(used.len(), 3, "{used:?}");
     assert!(!used.contains_key("u4"));
@@ -148,7 +148,7 @@
     let reports = r.tick(now);
     let item = reports[0].items.iter().find(|i| i.upstream == stalled).expect("reported");
     assert_eq!(item.bad, 10);
-    // The late end of the same attempt bears witness no second time.
+    // The later end of the same attempt adds no further evidence.
     r.finish(p.attempt, Outcome::Late, now + Duration::from_secs(2));
     let again = r.tick(now + Duration::from_secs(3));
     assert!(again.iter().flat_map(|r| &r.items).all(|i| i.bad == 0), "{again:?}");
@@ -187,7 +187,7 @@
 #[test]
 fn full_upstreams_are_refused_at_once_with_a_time_to_come_back() {
     let (mut r, k) = router(Repeat::Always);
-    // Two boxes share twenty connections of each upstream: ten each.
+    // Two boxes share twenty connections to each upstream, so each box may open ten.
     let open: Vec<AttemptKey> =
         std::iter::from_fn(|| r.pick(k, true, &[], Time::ZERO).ok()).map(|p| p.attempt).collect();
     assert_eq!(open.len(), N * 10);
@@ -203,7 +203,7 @@
     r.set_services([ServiceSpec { rate: Some(40.0), ..spec(Repeat::Always) }]);
     let k = r.service("s").expect("set");
     let admitted = (0..1_000).filter(|i| r.admit(k, Time::from_millis(i * 10)).is_ok()).count();
-    // Ten a second for ten seconds, and the burst.
+    // Ten requests per second for ten seconds, plus the burst.
     assert!((100..=111).contains(&admitted), "{admitted}");
     let refusal = r.admit(k, Time::from_millis(9_990)).expect_err("used up");
     assert!(refusal.retry_after <= Duration::from_millis(150));
@@ -225,14 +225,14 @@
         liars += usize::from(lies);
         r.answered(p.attempt, true, now + Duration::from_millis(15));
         r.finish(p.attempt, Outcome::Whole, now + Duration::from_millis(15));
-        // The others tell the truth: two of three slots are busy.
+        // All other upstreams correctly report two of three busy slots.
         r.reported_load(p.upstream, if lies { lie } else { 0.667 }, now);
     }
-    // A fair share is two hundred: it wins each draw, or none while it is fresh.
+    // A fair share is 200; a fresh false report wins or loses every comparison.
     assert!(share.contains(&liars), "{liars} of 1000");
 }
 
-/// Serves `n` requests that take `ms` each; returns how many were refused.
+/// Sends `n` requests that take `ms` each and returns the number of refused ones.
 fn serve(r: &mut Router, k: ServiceKey, now: &mut Time, n: usize, ms: u64) -> usize {
     let mut refused = 0;
     for _ in 0..n {
@@ -256,7 +256,8 @@
     let (mut r, k) = router(Repeat::Always);
     let mut now = Time::ZERO;
     assert_eq!(serve(&mut r, k, &mut now, 500, 50), 0, "healthy load is admitted");
-    // Answers at half the deadline of two seconds: half of the share goes.
+    // Response times of half the two-second deadline exceed the target of a quarter, so about half
+    // are shed.
     let refused = serve(&mut r, k, &mut now, 400, 1_000);
     assert!((130..250).contains(&refused), "{refused} of 400");
     serve(&mut r, k, &mut now, 100, 50);
@@ -290,7 +291,7 @@
     }
 }
 
-/// One generated event.
+/// A generated event.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Pick(bool),
@@ -315,7 +316,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 500, failure_persistence: None, rng_seed: RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
-    /// Against a naive bookkeeper: what is open, drained and ejected by permit.
+    /// Compares with a reference model of open attempts, drained and ejected upstreams.
     #[test]
     fn picks_agree_with_a_naive_bookkeeper(steps in prop::collection::vec(step(), 1..200)) {
         let (mut r, k) = router(Repeat::Always);
@@ -376,7 +377,7 @@
     }
 }
 
-/// Guards against requests inside the backoff that an upstream's rejection asked for.
+/// Guards against requests within the backoff that an upstream requested with a rejection.
 #[test]
 fn a_router_sends_nothing_during_a_backoff() {
     let (mut r, s) = router(Repeat::Always);
--- a/crates/honeypulley_policy/tests/routes.rs
+++ b/crates/honeypulley_policy/tests/routes.rs
@@ -1,4 +1,4 @@
-//! The routing table: longest prefix by whole segments, and what it refuses.
+//! Tests prefix matching and validation of the routing table.
 
 use honeypulley_policy::routes::{
     CallerLimits, RequestKind, Route, RouteError, RouteTable, Target,
@@ -46,7 +46,7 @@
     ])
     .expect("fine");
     let found = t.find(host, path).map(|r| r.name.as_str());
-    // `b.example` serves everything of its host.
+    // The route of `b.example` matches every path of the host.
     let want = if host == "b.example" { Some("b") } else { want };
     assert_eq!(found, want);
 }
@@ -82,7 +82,7 @@
 }
 
 proptest! {
-    /// Agrees with a search over all routes.
+    /// Compares with a linear search over all routes.
     #[test]
     fn finds_what_a_naive_search_finds(
         prefixes in prop::collection::btree_set("(/[ab]{1,2}){0,3}/", 1..8),
