--- a/crates/honeypulley_policy/benches/keys.rs
+++ b/crates/honeypulley_policy/benches/keys.rs
@@ -26,20 +26,20 @@
             .burst(10.0)
             .build()
     };
-    let before = ALLOCATOR.allocated();
+    let base_bytes = ALLOCATOR.allocated();
     let specs = (0..ORGANISATIONS).map(spec).collect();
-    let began = Instant::now();
-    let all = Organisations::new(specs).expect("keys and names differ");
-    println!("built in {:?}", began.elapsed());
-    println!("{} bytes each", (ALLOCATOR.allocated() - before) / ORGANISATIONS);
-    let held: Vec<String> = (0..1_000).map(|i| key(i * 500)).collect();
+    let start = Instant::now();
+    let organisations = Organisations::new(specs).expect("keys and names are unique");
+    println!("built in {:?}", start.elapsed());
+    println!("{} bytes each", (ALLOCATOR.allocated() - base_bytes) / ORGANISATIONS);
+    let known: Vec<String> = (0..1_000).map(|i| key(i * 500)).collect();
     let unknown: Vec<String> = (0..1_000).map(|i| key(ORGANISATIONS + i)).collect();
-    for (what, keys) in [("held", &held), ("unknown", &unknown)] {
-        let began = Instant::now();
+    for (what, keys) in [("known", &known), ("unknown", &unknown)] {
+        let start = Instant::now();
         for i in 0..LOOKUPS {
             let digest = KeyDigest::of(keys[i % keys.len()].as_bytes());
-            black_box(all.holder(black_box(digest)));
+            black_box(organisations.holder(black_box(digest)));
         }
-        println!("{what}: {:.0} ns", began.elapsed().as_nanos() as f64 / LOOKUPS as f64);
+        println!("{what}: {:.0} ns", start.elapsed().as_nanos() as f64 / LOOKUPS as f64);
     }
 }
--- a/crates/honeypulley_policy/benches/pick.rs
+++ b/crates/honeypulley_policy/benches/pick.rs
@@ -1,4 +1,6 @@
-//! Measures the time of one pick among 21 upstreams with attempts of other boxes pending.
+//! Measures the time of one pick among 21 upstreams.
+//!
+//! Other boxes of the data hall have attempts pending on these upstreams.
 //!
 //! Prints the median over several rounds in nanoseconds. Run with `cargo bench -p
 //! honeypulley_policy --bench pick`.
@@ -33,16 +35,16 @@
 }
 
 /// Opens one attempt per peer, distributed evenly over the upstreams.
-fn open_by_peers(b: &mut Balancer, at: Time) {
+fn open_peer_attempts(b: &mut Balancer, now: Time) {
     for peer in 0..PEERS {
         let upstream = NameId::of(&format!("u{}", peer % UPSTREAMS));
         let open = News::Open { upstream, count: 1 };
-        b.heard(NameId::of(&format!("peer{peer}")), open, at);
+        b.heard(NameId::of(&format!("peer{peer}")), open, now);
     }
 }
 
 /// Sets a rate limit, far above the traffic, on the first `upstreams` upstreams.
-fn name_limits(b: &mut Balancer, upstreams: usize, now: Time) {
+fn set_limits(b: &mut Balancer, upstreams: usize, now: Time) {
     for i in 0..upstreams {
         let news = News::Limit { upstream: NameId::of(&format!("u{i}")), rate: Some(9e5) };
         b.heard(NameId::of("peer0"), news, now);
@@ -52,7 +54,7 @@
 /// Returns the median time of a pick in nanoseconds, with `limited` upstreams rate-limited.
 fn pick_time(limited: usize) -> u64 {
     let mut b = balancer();
-    let service = b.service("s").expect("set up");
+    let service = b.service("s").expect("service is configured");
     let ask = Ask {
         service,
         repeatable: true,
@@ -62,25 +64,25 @@
         left: None,
         route: NameId::of("r"),
     };
-    let mut took = Vec::new();
+    let mut times = Vec::new();
     for round in 0..ROUNDS as u64 {
-        let from = Time::from_millis(round * 1_000);
-        open_by_peers(&mut b, from);
-        name_limits(&mut b, limited, from);
-        let mut picks = Duration::ZERO;
+        let start = Time::from_millis(round * 1_000);
+        open_peer_attempts(&mut b, start);
+        set_limits(&mut b, limited, start);
+        let mut total = Duration::ZERO;
         for i in 0..PICKS {
-            let now = from + Duration::from_micros(i * 100);
-            let at = Instant::now();
-            let pick = b.pick(&ask, &[], now).expect("there are upstreams");
-            picks += at.elapsed();
+            let now = start + Duration::from_micros(i * 100);
+            let begin = Instant::now();
+            let pick = b.pick(&ask, &[], now).expect("upstreams are available");
+            total += begin.elapsed();
             b.answered(pick.attempt, true, now);
             b.finish(pick.attempt, Outcome::Whole, now);
             b.take_news();
         }
-        took.push(picks.as_nanos() as u64 / PICKS);
+        times.push(total.as_nanos() as u64 / PICKS);
     }
-    took.sort_unstable();
-    took[ROUNDS / 2]
+    times.sort_unstable();
+    times[ROUNDS / 2]
 }
 
 fn main() {
--- a/crates/honeypulley_policy/src/belief.rs
+++ b/crates/honeypulley_policy/src/belief.rs
@@ -12,15 +12,15 @@
 /// Prior failure rate of requests on an unhealthy upstream.
 pub const FAILS_SICK: f64 = 0.75;
 /// Prior rate at which an upstream becomes unhealthy, per second.
-const ONSET: f64 = 1.0 / 19.0;
+const ONSET_RATE: f64 = 1.0 / 19.0;
 /// Rate at which the path from this box to an upstream fails, per second.
-const PATH_ONSET: f64 = 1.0 / 600.0;
+const PATH_ONSET_RATE: f64 = 1.0 / 600.0;
 /// Prior rate at which a phase of the unhealthy state ends, per second.
-const PHASE_END: f64 = 1.0 / 2.3;
+const PHASE_END_RATE: f64 = 1.0 / 2.3;
 /// Upper bound of the unhealthy probability after a peer reports the upstream healthy.
-const CALM_SICK: f64 = 0.1;
+const MAX_REPORTED_HEALTHY: f64 = 0.1;
 /// Lower bound of the probability of any state, so that no state becomes absorbing.
-const LEAST: f64 = 1e-4;
+const MIN_PROBABILITY: f64 = 1e-4;
 
 /// Observed result of an attempt, or of an attempt that is still pending.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -85,100 +85,110 @@
     late: f64,
     /// Rate at which the unhealthy state begins, per second.
     onset: f64,
-    at: Time,
+    updated: Time,
 }
 
 impl Belief {
     /// Creates an estimate at the prior.
     #[must_use]
     pub fn new(now: Time) -> Self {
-        let usual = usual(ONSET);
-        Self { early: usual, late: usual, onset: ONSET, at: now }
+        let stationary = stationary(ONSET_RATE);
+        Self { early: stationary, late: stationary, onset: ONSET_RATE, updated: now }
     }
 
     /// Creates an estimate for something that seldom fails, such as a network path.
     #[must_use]
     pub const fn sound(now: Time) -> Self {
-        Self { early: LEAST, late: LEAST, onset: PATH_ONSET, at: now }
+        Self { early: MIN_PROBABILITY, late: MIN_PROBABILITY, onset: PATH_ONSET_RATE, updated: now }
     }
 
     /// Creates an estimate from the phase probabilities reported by a peer.
     #[must_use]
     pub fn told([early, late]: [f64; 2], now: Time) -> Self {
-        let early = early.clamp(LEAST, 1.0 - 2.0 * LEAST);
-        let late = late.clamp(LEAST, 1.0 - LEAST - early);
-        Self { early, late, onset: ONSET, at: now }
+        let early = early.clamp(MIN_PROBABILITY, 1.0 - 2.0 * MIN_PROBABILITY);
+        let late = late.clamp(MIN_PROBABILITY, 1.0 - MIN_PROBABILITY - early);
+        Self { early, late, onset: ONSET_RATE, updated: now }
     }
 
     /// Returns the probabilities of the two unhealthy phases at `now`.
     #[must_use]
     pub fn phases(&self, now: Time) -> [f64; 2] {
-        let aged = self.aged(now);
-        [aged.early, aged.late]
+        let predicted = self.predicted(now);
+        [predicted.early, predicted.late]
     }
 
     /// Returns the probability that the upstream is unhealthy at `now`.
     #[must_use]
     pub fn chance(&self, now: Time) -> f64 {
-        let aged = self.aged(now);
-        aged.early + aged.late
+        let predicted = self.predicted(now);
+        predicted.early + predicted.late
     }
 
     /// Updates the estimate with one observation.
     pub fn observe(&mut self, o: Observation, now: Time) {
-        let (well, sick) = o.likelihood();
-        self.weigh(well, sick, now);
+        let (healthy, unhealthy) = o.likelihood();
+        self.weigh(healthy, unhealthy, now);
     }
 
     /// Updates the estimate by the likelihoods for a healthy and an unhealthy upstream.
-    pub fn weigh(&mut self, well: f64, sick: f64, now: Time) {
-        *self = self.aged(now);
-        let joint = [(1.0 - self.early - self.late) * well, self.early * sick, self.late * sick];
+    pub fn weigh(&mut self, healthy: f64, unhealthy: f64, now: Time) {
+        *self = self.predicted(now);
+        let joint = [
+            (1.0 - self.early - self.late) * healthy,
+            self.early * unhealthy,
+            self.late * unhealthy,
+        ];
         let total: f64 = joint.iter().sum();
-        let bounded = |x: f64| (x / total).clamp(LEAST, 1.0 - 2.0 * LEAST);
+        let bounded = |x: f64| (x / total).clamp(MIN_PROBABILITY, 1.0 - 2.0 * MIN_PROBABILITY);
         (self.early, self.late) = (bounded(joint[1]), bounded(joint[2]));
-        let sick = self.early + self.late;
-        if sick > 1.0 - LEAST {
-            self.scale((1.0 - LEAST) / sick);
+        let unhealthy = self.early + self.late;
+        if unhealthy > 1.0 - MIN_PROBABILITY {
+            self.scale((1.0 - MIN_PROBABILITY) / unhealthy);
         }
     }
 
     /// Lowers the estimate after a better informed peer reported the upstream healthy.
     pub fn calm(&mut self, now: Time) {
-        *self = self.aged(now);
-        let sick = self.early + self.late;
-        if sick > CALM_SICK {
-            self.scale(CALM_SICK / sick);
+        *self = self.predicted(now);
+        let unhealthy = self.early + self.late;
+        if unhealthy > MAX_REPORTED_HEALTHY {
+            self.scale(MAX_REPORTED_HEALTHY / unhealthy);
         }
     }
 
-    fn scale(&mut self, by: f64) {
-        self.early *= by;
-        self.late *= by;
+    fn scale(&mut self, factor: f64) {
+        self.early *= factor;
+        self.late *= factor;
     }
 
     /// Returns the estimate advanced to `now` without any observation.
     ///
     /// The deviation from the stationary probabilities follows a linear differential equation whose
-    /// solution is a damped oscillation. `damping` and `turn` are the real and imaginary parts of
-    /// its eigenvalues.
-    fn aged(&self, now: Time) -> Self {
-        let secs = now.since(self.at).as_secs_f64();
-        let usual = usual(self.onset);
-        let damping = PHASE_END + self.onset / 2.0;
-        let turn = (self.onset * (PHASE_END - self.onset / 4.0)).sqrt();
-        let (sin, cos) = (turn * secs).sin_cos();
-        let (a, b) = (self.early - usual, self.late - usual);
+    /// solution is a damped oscillation. `damping` and `frequency` are the real and imaginary parts
+    /// of its eigenvalues.
+    fn predicted(&self, now: Time) -> Self {
+        let secs = now.since(self.updated).as_secs_f64();
+        let stationary = stationary(self.onset);
+        let damping = PHASE_END_RATE + self.onset / 2.0;
+        let frequency = (self.onset * (PHASE_END_RATE - self.onset / 4.0)).sqrt();
+        let (sin, cos) = (frequency * secs).sin_cos();
+        let (a, b) = (self.early - stationary, self.late - stationary);
         let half = self.onset / 2.0;
-        let early = a * cos - (half * a + self.onset * b) * sin / turn;
-        let late = b * cos + (PHASE_END * a + half * b) * sin / turn;
-        let kept = (-damping * secs).exp();
-        let bounded = |x: f64| (usual + x * kept).clamp(LEAST, 1.0 - 2.0 * LEAST);
-        Self { early: bounded(early), late: bounded(late), onset: self.onset, at: now.max(self.at) }
+        let early = a * cos - (half * a + self.onset * b) * sin / frequency;
+        let late = b * cos + (PHASE_END_RATE * a + half * b) * sin / frequency;
+        let decay = (-damping * secs).exp();
+        let bounded =
+            |x: f64| (stationary + x * decay).clamp(MIN_PROBABILITY, 1.0 - 2.0 * MIN_PROBABILITY);
+        Self {
+            early: bounded(early),
+            late: bounded(late),
+            onset: self.onset,
+            updated: now.max(self.updated),
+        }
     }
 }
 
 /// Returns the stationary probability of each unhealthy phase.
-fn usual(onset: f64) -> f64 {
-    onset / 2.0f64.mul_add(onset, PHASE_END)
+fn stationary(onset: f64) -> f64 {
+    onset / 2.0f64.mul_add(onset, PHASE_END_RATE)
 }
--- a/crates/honeypulley_policy/src/collector.rs
+++ b/crates/honeypulley_policy/src/collector.rs
@@ -3,7 +3,7 @@
 //! Of a service at full size, a box sees about one request in two seconds, which is too few to
 //! judge alone. Boxes report to a few collectors; a collector responds with changed verdicts only.
 
-use crate::ledger::Ledger;
+use crate::ledger::CusumScores;
 use crate::spec::{Floor, Lean};
 use crate::time::Time;
 use serde::{Deserialize, Serialize};
@@ -72,16 +72,17 @@
 }
 
 /// Half-life of the counts that detect a fault shared by all upstreams.
-const SHORT_LIFE: Duration = Duration::from_secs(1);
+const SHORT_HALF_LIFE: Duration = Duration::from_secs(1);
 /// Time for which the evidence of a box counts.
 const WITNESS_WINDOW: Duration = Duration::from_secs(5);
-/// Failures that a minimal quorum can contribute together, as a multiple of the minimum for a
-/// suspicion.
-const WITNESS_SPARE: f64 = 2.0;
+/// Failures that a minimal quorum can contribute together.
+///
+/// Given as a multiple of the failures required for a suspicion.
+const QUORUM_FACTOR: f64 = 2.0;
 /// Immediate failures of a stalled upstream, as a share of its usual outcomes.
 const STALLED_SHARE: f64 = 0.1;
 /// Minimum of recent failures for a suspicion in a service with little traffic.
-const QUIET_LEAST: f64 = 1.2;
+const QUIET_MIN: f64 = 1.2;
 /// Minimum contribution for which a box counts as a witness.
 const WITNESS_MIN: f64 = 0.5;
 /// Hold after the first suspicion; doubles with each relapse.
@@ -89,22 +90,22 @@
 /// Upper bound of the hold.
 const MAX_HOLD: Duration = Duration::from_secs(120);
 /// Successes that end a probation.
-const PROBATION_GOOD: f64 = 6.0;
+const PROBATION_SUCCESSES: f64 = 6.0;
 /// Failures during probation that count as a relapse.
-const PROBATION_BAD: f64 = 2.0;
+const PROBATION_FAILURES: f64 = 2.0;
 /// Minimum failure rate of a relapse.
-const PROBATION_RATE: f64 = 0.2;
+const RELAPSE_RATE: f64 = 0.2;
 /// Time without a suspicion after which relapses are forgotten.
-const FORGIVE: Duration = Duration::from_secs(60);
+const RELAPSE_MEMORY: Duration = Duration::from_secs(60);
 
 /// Time by which a release must have reached the permits.
-const RELEASE_TIME: Duration = Duration::from_secs(5);
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(5);
 
 #[derive(Clone, Copy, Debug)]
-struct Standing {
+struct Health {
     judgement: Judgement,
     since: Time,
-    round: u32,
+    relapses: u32,
 }
 
 /// Collects reports on one service and judges its upstreams.
@@ -115,9 +116,9 @@
     floor: Floor,
     members: BTreeSet<NameId>,
     boxes: usize,
-    ledger: Ledger<NameId>,
-    testimony: BTreeMap<(NameId, NameId), (f64, Time)>,
-    standing: BTreeMap<NameId, Standing>,
+    scores: CusumScores<NameId>,
+    evidence: BTreeMap<(NameId, NameId), (f64, Time)>,
+    health: BTreeMap<NameId, Health>,
 }
 
 impl Collector {
@@ -130,9 +131,9 @@
             floor,
             members: BTreeSet::new(),
             boxes: 1,
-            ledger: Ledger::new(2.0 * Self::bar(lean), SHORT_LIFE),
-            testimony: BTreeMap::new(),
-            standing: BTreeMap::new(),
+            scores: CusumScores::new(2.0 * Self::threshold(lean), SHORT_HALF_LIFE),
+            evidence: BTreeMap::new(),
+            health: BTreeMap::new(),
         }
     }
 
@@ -142,24 +143,24 @@
         self.floor = floor;
     }
 
-    /// Applies the live upstreams and the number of boxes from the list, which may lag.
+    /// Applies the live upstreams and the number of boxes from the lagging list.
     pub fn set_members(&mut self, members: impl IntoIterator<Item = NameId>, boxes: usize) {
         self.members = members.into_iter().collect();
         self.boxes = boxes.max(1);
         let live = &self.members;
-        self.ledger.retain(|k| live.contains(&k));
-        self.standing.retain(|k, _| live.contains(k));
-        self.testimony.retain(|(_, u), _| live.contains(u));
+        self.scores.retain(|k| live.contains(&k));
+        self.health.retain(|k, _| live.contains(k));
+        self.evidence.retain(|(_, u), _| live.contains(u));
     }
 
     /// Returns the score from which an upstream is suspect.
     #[must_use]
-    pub fn bar(lean: Lean) -> f64 {
+    pub fn threshold(lean: Lean) -> f64 {
         lean.mix(15.0, 22.0)
     }
 
     /// Returns the recent failures required for a suspicion.
-    fn least(&self) -> f64 {
+    fn min_failures(&self) -> f64 {
         self.lean.mix(6.0, 8.0)
     }
 
@@ -167,14 +168,14 @@
     ///
     /// The usual counts reach back about fourteen seconds, so a stalled upstream shows about a
     /// tenth of them as recent failures.
-    fn least_here(&self) -> f64 {
-        let stalled = self.ledger.usual_count() * STALLED_SHARE;
-        self.least().min(stalled.max(QUIET_LEAST))
+    fn scaled_min_failures(&self) -> f64 {
+        let stalled = self.scores.mean_count() * STALLED_SHARE;
+        self.min_failures().min(stalled.max(QUIET_MIN))
     }
 
     /// Returns the weighted failures that one box can contribute within the window.
     fn witness_cap(&self) -> f64 {
-        self.least() * WITNESS_SPARE / self.quorum() as f64
+        self.min_failures() * QUORUM_FACTOR / self.quorum() as f64
     }
 
     /// Returns the number of witnesses required for a suspicion.
@@ -189,10 +190,10 @@
     /// permit is leaked.
     pub fn adopt(&mut self, upstream: NameId, now: Time) {
         let overdue =
-            |s: &Standing| s.judgement == Judgement::Clear && now.since(s.since) > RELEASE_TIME;
-        if self.members.contains(&upstream) && self.standing.get(&upstream).is_none_or(overdue) {
-            let standing = Standing { judgement: Judgement::Suspect, since: now, round: 1 };
-            self.standing.insert(upstream, standing);
+            |s: &Health| s.judgement == Judgement::Clear && now.since(s.since) > RELEASE_TIMEOUT;
+        if self.members.contains(&upstream) && self.health.get(&upstream).is_none_or(overdue) {
+            let entry = Health { judgement: Judgement::Suspect, since: now, relapses: 1 };
+            self.health.insert(upstream, entry);
         }
     }
 
@@ -202,21 +203,21 @@
         let known: Vec<ReportItem> =
             report.items.iter().copied().filter(|i| self.members.contains(&i.upstream)).collect();
         for item in known {
-            let bad = self.testify(report.reporter, item, weight, now);
-            self.ledger.add(item.upstream, f64::from(item.good), bad, now);
+            let bad = self.record_evidence(report.reporter, item, weight, now);
+            self.scores.add(item.upstream, f64::from(item.good), bad, now);
         }
         self.judge(now)
     }
 
     /// Ends expired holds and returns the changed verdicts.
     pub fn tick(&mut self, now: Time) -> Vec<Verdict> {
-        self.testimony.retain(|_, (_, at)| now.since(*at) < WITNESS_WINDOW);
+        self.evidence.retain(|_, (_, at)| now.since(*at) < WITNESS_WINDOW);
         self.judge(now)
     }
 
     /// Returns the upstreams that are suspect or on probation.
-    pub fn standing(&self) -> impl Iterator<Item = (NameId, Judgement)> + '_ {
-        self.standing
+    pub fn unhealthy(&self) -> impl Iterator<Item = (NameId, Judgement)> + '_ {
+        self.health
             .iter()
             .filter(|(_, s)| s.judgement != Judgement::Clear)
             .map(|(&u, s)| (u, s.judgement))
@@ -226,38 +227,44 @@
     ///
     /// A box that suspects many upstreams is probably faulty itself. Source: Lifeguard (2017).
     fn credibility(&self, report: &Report, now: Time) -> f64 {
-        let fresh = report.items.iter().filter(|i| i.bad > 0).map(|i| i.upstream);
-        let held = self
-            .testimony
+        let reported = report.items.iter().filter(|i| i.bad > 0).map(|i| i.upstream);
+        let recorded = self
+            .evidence
             .range((report.reporter, NameId(0))..=(report.reporter, NameId(u64::MAX)))
             .filter(|(_, (_, at))| now.since(*at) < WITNESS_WINDOW)
             .map(|((_, u), _)| *u);
         // Upstreams that are already judged unhealthy do not reduce the credibility.
-        let agreed = |u: &NameId| self.standing().any(|(s, _)| s == *u);
-        let accused: BTreeSet<NameId> = fresh.chain(held).filter(|u| !agreed(u)).collect();
-        let usual = (self.members.len() / 3).max(1);
-        if accused.len() > usual { 1.0 / (accused.len() * accused.len()) as f64 } else { 1.0 }
+        let judged = |u: &NameId| self.unhealthy().any(|(s, _)| s == *u);
+        let accused: BTreeSet<NameId> = reported.chain(recorded).filter(|u| !judged(u)).collect();
+        let max_accused = (self.members.len() / 3).max(1);
+        if accused.len() > max_accused { 1.0 / (accused.len() * accused.len()) as f64 } else { 1.0 }
     }
 
     /// Records one item and returns the weighted failures that it may add.
-    fn testify(&mut self, reporter: NameId, item: ReportItem, weight: f64, now: Time) -> f64 {
+    fn record_evidence(
+        &mut self,
+        reporter: NameId,
+        item: ReportItem,
+        weight: f64,
+        now: Time,
+    ) -> f64 {
         if item.bad == 0 {
             return 0.0;
         }
         let bad = f64::from(item.bad) / 10.0 * weight;
         let cap = self.witness_cap();
-        let slot = self.testimony.entry((reporter, item.upstream)).or_insert((0.0, now));
+        let slot = self.evidence.entry((reporter, item.upstream)).or_insert((0.0, now));
         if now.since(slot.1) >= WITNESS_WINDOW {
             *slot = (0.0, now);
         }
-        let room = (cap - slot.0).max(0.0);
-        let taken = bad.min(room);
-        *slot = (slot.0 + taken, now);
-        taken
+        let remaining = (cap - slot.0).max(0.0);
+        let accepted = bad.min(remaining);
+        *slot = (slot.0 + accepted, now);
+        accepted
     }
 
     fn witnesses(&self, upstream: NameId, now: Time) -> usize {
-        self.testimony
+        self.evidence
             .iter()
             .filter(|((_, u), (w, at))| {
                 *u == upstream && *w >= WITNESS_MIN && now.since(*at) < WITNESS_WINDOW
@@ -271,68 +278,71 @@
     }
 
     fn judge_one(&mut self, u: NameId, now: Time) -> Option<Verdict> {
-        let s = self.standing.get(&u).copied();
-        let (judgement, round) = match s.map(|s| s.judgement) {
+        let s = self.health.get(&u).copied();
+        let (judgement, relapses) = match s.map(|s| s.judgement) {
             None | Some(Judgement::Clear) => {
                 if !self.is_outlier(u, now) {
                     return None;
                 }
-                let forgiven = s.is_none_or(|s| now.since(s.since) > FORGIVE);
-                (Judgement::Suspect, if forgiven { 0 } else { s.map_or(0, |s| s.round + 1) })
+                let forgiven = s.is_none_or(|s| now.since(s.since) > RELAPSE_MEMORY);
+                (Judgement::Suspect, if forgiven { 0 } else { s.map_or(0, |s| s.relapses + 1) })
             }
             Some(Judgement::Suspect) => {
                 let s = s?;
-                if now.since(s.since) < hold(s.round) {
+                if now.since(s.since) < hold(s.relapses) {
                     return None;
                 }
-                (Judgement::Probation, s.round)
+                (Judgement::Probation, s.relapses)
             }
             Some(Judgement::Probation) => {
-                let (good, bad) = self.ledger.counts(u);
-                let round = s?.round;
+                let (good, bad) = self.scores.counts(u);
+                let relapses = s?.relapses;
                 // Under overload all upstreams fail, so a relapse must exceed the siblings' failure
                 // rate.
-                let usual = self.ledger.sibling_rate(u) * 2.0;
+                let sibling_bound = self.scores.sibling_rate(u) * 2.0;
                 let rate = bad / (bad + good).max(1.0);
-                if bad >= PROBATION_BAD && rate > usual.max(PROBATION_RATE) {
-                    (Judgement::Suspect, round + 1)
-                } else if good >= PROBATION_GOOD {
-                    (Judgement::Clear, round)
+                if bad >= PROBATION_FAILURES && rate > sibling_bound.max(RELAPSE_RATE) {
+                    (Judgement::Suspect, relapses + 1)
+                } else if good >= PROBATION_SUCCESSES {
+                    (Judgement::Clear, relapses)
                 } else {
                     return None;
                 }
             }
         };
         let witnesses = self.witnesses(u, now) as u16;
-        self.standing.insert(u, Standing { judgement, since: now, round });
+        self.health.insert(u, Health { judgement, since: now, relapses });
         // Each state is judged on evidence from that state only.
-        self.ledger.reset(u);
-        self.testimony.retain(|(_, v), _| *v != u);
+        self.scores.reset(u);
+        self.evidence.retain(|(_, v), _| *v != u);
         Some(Verdict {
             service: self.service,
             upstream: u,
             judgement,
-            hold: hold(round),
+            hold: hold(relapses),
             witnesses,
         })
     }
 
     fn is_outlier(&self, u: NameId, now: Time) -> bool {
-        let bar = Self::bar(self.lean);
-        if self.ledger.score(u) < bar || !self.ledger.is_outlier(u, self.least_here()) {
+        let threshold = Self::threshold(self.lean);
+        if self.scores.score(u) < threshold
+            || !self.scores.is_outlier(u, self.scaled_min_failures())
+        {
             return false;
         }
         if self.witnesses(u, now) < self.quorum() {
             return false;
         }
-        let held = self.standing().map(|(u, _)| u);
-        let troubled: BTreeSet<NameId> = self.ledger.over(bar / 2.0).chain(held).collect();
+        let unhealthy = self.unhealthy().map(|(u, _)| u);
+        let troubled: BTreeSet<NameId> =
+            self.scores.at_least(threshold / 2.0).chain(unhealthy).collect();
         // Trouble in most of a service at once indicates overload or a network fault.
-        let spare = self.members.len().saturating_sub(self.floor.count(self.members.len()));
-        troubled.len() <= spare
+        let max_ejected = self.members.len().saturating_sub(self.floor.count(self.members.len()));
+        troubled.len() <= max_ejected
     }
 }
 
-fn hold(round: u32) -> Duration {
-    (FIRST_HOLD * 2u32.pow(round.min(10))).min(MAX_HOLD)
+fn hold(relapses: u32) -> Duration {
+    (FIRST_HOLD * 2u32.pow(relapses.min(10))).min(MAX_HOLD)
 }
--- a/crates/honeypulley_policy/src/naive.rs
+++ b/crates/honeypulley_policy/src/naive.rs
@@ -12,14 +12,14 @@
 /// Time window in which these failures must occur.
 pub const WINDOW: Duration = Duration::from_secs(10);
 /// Duration of an ejection.
-pub const ASIDE: Duration = Duration::from_secs(30);
+pub const EJECTION_TIME: Duration = Duration::from_secs(30);
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Entry {
-    run: u32,
-    first: Time,
-    until: Option<Time>,
-    out: u32,
+    streak: u32,
+    streak_start: Time,
+    ejected_until: Option<Time>,
+    in_flight: u32,
 }
 
 /// Outlier detection of one box for one service.
@@ -38,43 +38,44 @@
     /// Returns whether upstream `i` is ejected at `now`.
     #[must_use]
     pub fn is_aside(&self, i: usize, now: Time) -> bool {
-        self.entries[i].until.is_some_and(|t| now < t)
+        self.entries[i].ejected_until.is_some_and(|t| now < t)
     }
 
     /// Picks the less loaded of two upstreams drawn at random.
     ///
     /// Returns `None` if all are ejected.
     pub fn pick(&mut self, now: Time, rng: &mut fastrand::Rng) -> Option<usize> {
-        let open: Vec<usize> =
+        let free: Vec<usize> =
             (0..self.entries.len()).filter(|&i| !self.is_aside(i, now)).collect();
         let draw =
-            |rng: &mut fastrand::Rng| (!open.is_empty()).then(|| open[rng.usize(..open.len())]);
+            |rng: &mut fastrand::Rng| (!free.is_empty()).then(|| free[rng.usize(..free.len())]);
         let (a, b) = (draw(rng)?, draw(rng)?);
-        let best = if self.entries[a].out <= self.entries[b].out { a } else { b };
-        self.entries[best].out += 1;
+        let best = if self.entries[a].in_flight <= self.entries[b].in_flight { a } else { b };
+        self.entries[best].in_flight += 1;
         Some(best)
     }
 
     /// Records the end of a request and returns whether it ejected the upstream.
     pub fn finish(&mut self, i: usize, ok: bool, now: Time) -> bool {
-        let aside = (0..self.entries.len()).filter(|&j| self.is_aside(j, now)).count();
-        let most = (self.entries.len() / 10).max(1);
+        let ejected = (0..self.entries.len()).filter(|&j| self.is_aside(j, now)).count();
+        let max_ejected = (self.entries.len() / 10).max(1);
         let e = &mut self.entries[i];
-        e.out = e.out.saturating_sub(1);
+        e.in_flight = e.in_flight.saturating_sub(1);
         if ok {
-            e.run = 0;
+            e.streak = 0;
             return false;
         }
-        if e.run == 0 || now.since(e.first) > WINDOW {
-            e.run = 0;
-            e.first = now;
+        if e.streak == 0 || now.since(e.streak_start) > WINDOW {
+            e.streak = 0;
+            e.streak_start = now;
         }
-        e.run += 1;
-        if e.run < FAILURES || aside >= most || e.until.is_some_and(|t| now < t) {
+        e.streak += 1;
+        if e.streak < FAILURES || ejected >= max_ejected || e.ejected_until.is_some_and(|t| now < t)
+        {
             return false;
         }
-        e.run = 0;
-        e.until = Some(now + ASIDE);
+        e.streak = 0;
+        e.ejected_until = Some(now + EJECTION_TIME);
         true
     }
 }
--- a/crates/honeypulley_policy/src/permits.rs
+++ b/crates/honeypulley_policy/src/permits.rs
@@ -63,7 +63,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PermitError {
     /// Another ejection would leave fewer upstreams than the floor.
-    #[error("the floor of {floor} would be broken: {live} live, {held} held")]
+    #[error("ejection would leave fewer than {floor} upstreams: {live} live, {held} listed")]
     Floor {
         /// Number of live upstreams.
         live: usize,
@@ -73,10 +73,10 @@
         floor: usize,
     },
     /// The upstream is not in the state that the change requires.
-    #[error("the upstream is not in the state this change starts from")]
+    #[error("the upstream is not in the state that the change requires")]
     State,
     /// Older views may not have expired yet.
-    #[error("older views lapse in {0:?}")]
+    #[error("older views expire in {0:?}")]
     Cooling(Duration),
 }
 
@@ -97,7 +97,7 @@
             let FloorContext { live, floor } = ctx;
             return Err(PermitError::Floor { live, held: self.entries.len(), floor });
         }
-        Ok(self.with(upstream, Hold::Ejected))
+        Ok(self.with_hold(upstream, Hold::Ejected))
     }
 
     /// Returns the record with `upstream` receiving canary requests.
@@ -106,7 +106,7 @@
     /// Returns [`PermitError::State`] unless the upstream is ejected.
     pub fn try_canary(&self, upstream: &str) -> Result<Self, PermitError> {
         match self.hold(upstream) {
-            Some(Hold::Ejected) => Ok(self.with(upstream, Hold::Canary)),
+            Some(Hold::Ejected) => Ok(self.with_hold(upstream, Hold::Canary)),
             _ => Err(PermitError::State),
         }
     }
@@ -117,7 +117,7 @@
     /// Returns [`PermitError::State`] unless the upstream is ejected or a canary.
     pub fn release(&self, upstream: &str) -> Result<Self, PermitError> {
         match self.hold(upstream) {
-            Some(Hold::Ejected | Hold::Canary) => Ok(self.with(upstream, Hold::Cooling)),
+            Some(Hold::Ejected | Hold::Canary) => Ok(self.with_hold(upstream, Hold::Cooling)),
             _ => Err(PermitError::State),
         }
     }
@@ -149,7 +149,7 @@
         self.entries.get(upstream).map(|e| e.hold)
     }
 
-    fn with(&self, upstream: &str, hold: Hold) -> Self {
+    fn with_hold(&self, upstream: &str, hold: Hold) -> Self {
         let mut next = self.clone();
         next.serial += 1;
         next.entries.insert(upstream.to_owned(), PermitEntry { hold, serial: next.serial });
@@ -157,7 +157,7 @@
     }
 }
 
-/// View of all permits held by a box, with the time of its last confirmation.
+/// View of all permits, with the time of its last confirmation.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PermitView {
     /// Records by service name.
--- a/crates/honeypulley_policy/src/placement.rs
+++ b/crates/honeypulley_policy/src/placement.rs
@@ -35,15 +35,15 @@
 ) -> Vec<&'a str> {
     let seed = xxh3_64_with_seed(subject.as_bytes(), role as u64 + 1);
     let weight = |n: &str| xxh3_64_with_seed(n.as_bytes(), seed);
-    let mut drawn: Vec<(u64, &str)> = names.into_iter().map(|n| (weight(n), n)).collect();
-    let k = k.min(drawn.len());
+    let mut weighted: Vec<(u64, &str)> = names.into_iter().map(|n| (weight(n), n)).collect();
+    let k = k.min(weighted.len());
     if k == 0 {
         return Vec::new();
     }
-    drawn.select_nth_unstable_by(k - 1, |a, b| b.cmp(a));
-    drawn.truncate(k);
-    drawn.sort_unstable_by(|a, b| b.cmp(a));
-    drawn.into_iter().map(|(_, n)| n).collect()
+    weighted.select_nth_unstable_by(k - 1, |a, b| b.cmp(a));
+    weighted.truncate(k);
+    weighted.sort_unstable_by(|a, b| b.cmp(a));
+    weighted.into_iter().map(|(_, n)| n).collect()
 }
 
 /// Returns the weight of one box for a numbered subject.
@@ -68,13 +68,13 @@
     if boxes <= connections {
         return upstreams;
     }
-    let fits = |d: usize| {
-        let p = d as f64 / upstreams as f64;
+    let fits = |size: usize| {
+        let p = size as f64 / upstreams as f64;
         let mean = boxes as f64 * p;
-        let spread = (mean * (1.0 - p)).sqrt();
-        mean + 4.0 * spread <= connections as f64
+        let deviation = (mean * (1.0 - p)).sqrt();
+        mean + 4.0 * deviation <= connections as f64
     };
-    (1..=upstreams).take_while(|&d| fits(d)).last().unwrap_or(1)
+    (1..=upstreams).take_while(|&size| fits(size)).last().unwrap_or(1)
 }
 
 /// Returns the number of connections that one box may open to one upstream.
@@ -85,6 +85,6 @@
     upstreams: usize,
     connections: usize,
 ) -> usize {
-    let sharers = (boxes * subset).div_ceil(upstreams.max(1)).max(1);
-    (connections / sharers).max(1)
+    let boxes_per_upstream = (boxes * subset).div_ceil(upstreams.max(1)).max(1);
+    (connections / boxes_per_upstream).max(1)
 }
--- a/crates/honeypulley_policy/src/router.rs
+++ b/crates/honeypulley_policy/src/router.rs
@@ -8,12 +8,12 @@
 mod refusal;
 
 use crate::collector::{Judgement, NameId, Verdict};
-use crate::ledger::Ledger;
+use crate::ledger::CusumScores;
 use crate::limits::{Gcra, RetryBudget};
 use crate::permits::{Hold, PermitView};
 use crate::placement::{self, Role};
 use crate::spec::{Member, MemberState, ServiceSpec};
-use crate::spread::Spread;
+use crate::spread::LatencyStats;
 use crate::time::Time;
 pub use refusal::{Refusal, RefusalKind};
 use slotmap::{SlotMap, new_key_type};
@@ -88,21 +88,21 @@
     service: ServiceKey,
     started: Time,
     /// Whether evidence was recorded for the attempt, which happens only once.
-    judged: bool,
+    recorded: bool,
     /// Whether the head of the response has arrived.
     answered: bool,
 }
 
 /// Hold on an upstream by this box alone.
 #[derive(Clone, Copy, Debug, Default)]
-struct OwnHold {
+struct LocalHold {
     until: Option<Time>,
     probation: bool,
-    round: u32,
+    relapses: u32,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct SharedHold {
+struct CollectorHold {
     judgement: Judgement,
     until: Time,
 }
@@ -113,35 +113,35 @@
     addr: String,
     id: NameId,
     service: ServiceKey,
-    near: bool,
+    same_hall: bool,
     leaving: bool,
     drained: Option<Time>,
     /// End of the backoff that the upstream requested from this box.
     backoff: Option<Time>,
-    joined: Time,
+    added: Time,
     out: usize,
     load: Option<(f64, Time)>,
     /// Whether the last response arrived within the usual time.
-    quick: bool,
-    own: OwnHold,
-    shared: Option<SharedHold>,
+    is_fast: bool,
+    local: LocalHold,
+    verdict: Option<CollectorHold>,
     /// Number of boxes that supported the last suspicion.
     witnesses: u16,
     permit: Option<Hold>,
-    pending: (u16, u16),
+    unreported: (u16, u16),
 }
 
 #[derive(Clone, Debug)]
 struct Service {
     spec: ServiceSpec,
     id: NameId,
-    spread: Spread,
+    latency: LatencyStats,
     budget: RetryBudget,
-    ledger: Ledger<UpstreamKey>,
+    scores: CusumScores<UpstreamKey>,
     upstreams: Vec<UpstreamKey>,
     rate: Option<Gcra>,
-    share: usize,
-    reported: Time,
+    max_connections: usize,
+    last_report: Time,
     urgent: bool,
 }
 
@@ -157,14 +157,14 @@
     /// Reason for the state, or empty.
     pub reason: String,
     /// Evidence recorded by this box.
-    pub evidence: Seen,
+    pub evidence: LocalEvidence,
     /// Number of open attempts of this box.
     pub out: usize,
 }
 
 /// Evidence that a box recorded on an upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Seen {
+pub struct LocalEvidence {
     /// CUSUM score; higher values indicate an unhealthy upstream.
     pub score: f64,
     /// Successes and weighted failures, decayed with a half-life of ten seconds.
@@ -215,9 +215,9 @@
 
     /// Applies the services of a bundle, keeping the statistics of those that remain.
     pub fn set_services(&mut self, specs: impl IntoIterator<Item = ServiceSpec>) {
-        let mut gone: BTreeSet<String> = self.by_name.keys().cloned().collect();
+        let mut removed: BTreeSet<String> = self.by_name.keys().cloned().collect();
         for spec in specs {
-            gone.remove(&spec.name);
+            removed.remove(&spec.name);
             if let Some(&k) = self.by_name.get(&spec.name) {
                 self.services[k].configure(spec, self.boxes);
             } else {
@@ -226,8 +226,8 @@
                 self.by_name.insert(name, k);
             }
         }
-        for name in gone {
-            self.drop_service(&name);
+        for name in removed {
+            self.remove_service(&name);
         }
     }
 
@@ -258,29 +258,30 @@
         let kept: Vec<UpstreamKey> = list
             .iter()
             .filter(|m| subset.contains(&m.name.as_str()))
-            .map(|m| self.set_member(k, m, now))
+            .map(|m| self.upsert_member(k, m, now))
             .collect();
         for u in old.into_iter().filter(|u| !kept.contains(u)) {
-            self.drop_upstream(u);
+            self.remove_upstream(u);
         }
         let s = &mut self.services[k];
-        s.share = placement::connection_share(self.boxes, size, list.len(), s.spec.connections);
-        s.ledger.retain(|u| kept.contains(&u));
+        s.max_connections =
+            placement::connection_share(self.boxes, size, list.len(), s.spec.connections);
+        s.scores.retain(|u| kept.contains(&u));
         s.upstreams = kept;
     }
 
-    fn set_member(&mut self, service: ServiceKey, m: &Member, now: Time) -> UpstreamKey {
+    fn upsert_member(&mut self, service: ServiceKey, m: &Member, now: Time) -> UpstreamKey {
         let id = NameId::of(&m.name);
         let leaving = m.state == MemberState::Leaving;
-        let same = |u: &Upstream| u.addr == m.addr && u.service == service;
+        let is_same = |u: &Upstream| u.addr == m.addr && u.service == service;
         if let Some(&k) = self.by_id.get(&id)
-            && self.upstreams.get(k).is_some_and(same)
+            && self.upstreams.get(k).is_some_and(is_same)
         {
             let u = &mut self.upstreams[k];
             // A change from leaving to live means that the upstream restarted at its address.
             if u.leaving && !leaving {
                 u.drained = None;
-                u.joined = now;
+                u.added = now;
             }
             u.leaving = leaving;
             return k;
@@ -290,19 +291,19 @@
             addr: m.addr.clone(),
             id,
             service,
-            near: m.hall == self.hall,
+            same_hall: m.hall == self.hall,
             leaving,
             drained: None,
             backoff: None,
-            joined: now,
+            added: now,
             out: 0,
             load: None,
-            quick: false,
-            own: OwnHold::default(),
-            shared: None,
+            is_fast: false,
+            local: LocalHold::default(),
+            verdict: None,
             witnesses: 0,
             permit: None,
-            pending: (0, 0),
+            unreported: (0, 0),
         };
         let k = self.upstreams.insert(up);
         self.by_id.insert(id, k);
@@ -329,14 +330,14 @@
         let k = *self.by_id.get(&v.upstream)?;
         let u = self.upstreams.get_mut(k)?;
         let s = self.services.get_mut(u.service)?;
-        u.shared = Some(SharedHold { judgement: v.judgement, until: now + v.hold });
+        u.verdict = Some(CollectorHold { judgement: v.judgement, until: now + v.hold });
         if v.judgement == Judgement::Suspect {
             u.witnesses = v.witnesses;
         }
         if v.judgement == Judgement::Clear {
-            u.shared = None;
-            u.own = OwnHold::default();
-            s.ledger.reset(k);
+            u.verdict = None;
+            u.local = LocalHold::default();
+            s.scores.reset(k);
         }
         Some(&u.name)
     }
@@ -394,15 +395,15 @@
         self.services.get(k).map_or(Duration::from_secs(1), Service::stall_limit)
     }
 
-    fn drop_service(&mut self, name: &str) {
+    fn remove_service(&mut self, name: &str) {
         let Some(k) = self.by_name.remove(name) else { return };
         let Some(s) = self.services.remove(k) else { return };
         for u in s.upstreams {
-            self.drop_upstream(u);
+            self.remove_upstream(u);
         }
     }
 
-    fn drop_upstream(&mut self, k: UpstreamKey) {
+    fn remove_upstream(&mut self, k: UpstreamKey) {
         let Some(u) = self.upstreams.remove(k) else { return };
         // A successor at a different address may already be registered under this name.
         if self.by_id.get(&u.id) == Some(&k) {
@@ -415,13 +416,16 @@
     fn new(spec: ServiceSpec, boxes: usize) -> Self {
         let mut s = Self {
             id: NameId::of(&spec.name),
-            spread: Spread::default(),
+            latency: LatencyStats::default(),
             budget: RetryBudget::new(spec.retries),
-            ledger: Ledger::new(2.0 * evidence::own_bar(spec.lean), evidence::OWN_SHORT_LIFE),
+            scores: CusumScores::new(
+                2.0 * evidence::local_threshold(spec.lean),
+                evidence::LOCAL_SHORT_HALF_LIFE,
+            ),
             upstreams: Vec::new(),
             rate: None,
-            share: 1,
-            reported: Time::ZERO,
+            max_connections: 1,
+            last_report: Time::ZERO,
             urgent: false,
             spec: spec.clone(),
         };
@@ -446,19 +450,19 @@
     /// answered in time; all others are refused at once with a time after which to retry.
     fn shed_share(&self) -> f64 {
         let target = self.spec.deadline.as_secs_f64() * SHED_TARGET;
-        let recent = self.spread.recent().as_secs_f64();
-        if !self.spread.is_raised() || recent <= target {
+        let recent_median = self.latency.recent_median().as_secs_f64();
+        if !self.latency.is_elevated() || recent_median <= target {
             return 0.0;
         }
-        1.0 - target / recent
+        1.0 - target / recent_median
     }
 
     fn stall_limit(&self) -> Duration {
-        self.spread.limit(self.spec.lean.mix(3.5, 4.5)).min(self.spec.deadline)
+        self.latency.limit(self.spec.lean.mix(3.5, 4.5)).min(self.spec.deadline)
     }
 
     fn slow_limit(&self) -> Duration {
-        self.spread.limit(self.spec.lean.mix(3.0, 4.0))
+        self.latency.limit(self.spec.lean.mix(3.0, 4.0))
     }
 }
 
--- a/crates/honeypulley_policy/src/router/choice.rs
+++ b/crates/honeypulley_policy/src/router/choice.rs
@@ -1,8 +1,8 @@
 //! Selection among the upstreams of a service.
 
 use super::{
-    Attempt, Pick, Reason, Refusal, RefusalKind, Router, Seen, Service, ServiceKey, Upstream,
-    UpstreamKey, UpstreamStatus, jitter,
+    Attempt, LocalEvidence, Pick, Reason, Refusal, RefusalKind, Router, Service, ServiceKey,
+    Upstream, UpstreamKey, UpstreamStatus, jitter,
 };
 use crate::collector::Judgement;
 use crate::permits::{Hold, LEASE};
@@ -12,17 +12,19 @@
 /// Share of picks that probe each upstream on probation.
 const CANARY_SHARE: f64 = 0.05;
 /// Slow-start period of a new upstream.
-const COLD_START: Duration = Duration::from_secs(10);
+const SLOW_START: Duration = Duration::from_secs(10);
 /// Age at which a load report is ignored.
-const LOAD_LIFE: Duration = Duration::from_secs(2);
-/// Reported load of an upstream whose slots are all busy and whose queue is empty.
+const LOAD_TTL: Duration = Duration::from_secs(2);
+/// Reported load of an upstream with all slots busy and an empty queue.
 const LOAD_BUSY: f64 = 1.0;
-/// Reported load from which an upstream counts as full, and upper bound of its cost.
+/// Reported load from which an upstream counts as full.
+///
+/// Also the upper bound of the cost of a reported load.
 const LOAD_FULL: f64 = 2.0;
 /// Time for which an upstream's announcement of its shutdown remains valid.
-const DRAIN_MEMORY: Duration = Duration::from_secs(300);
+const DRAIN_TTL: Duration = Duration::from_secs(300);
 /// Cost of using another data hall, in outstanding requests.
-const HALL_COST: f64 = 0.5;
+const CROSS_HALL_COST: f64 = 0.5;
 
 /// Health class of an upstream; lower values are better.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -55,41 +57,45 @@
         let Some(s) = self.services.get(service) else {
             return Err(self.refuse(RefusalKind::NoUpstream, Duration::from_secs(1)));
         };
-        let mut open = self.classes(s, now);
-        open.retain(|(u, _)| !tried.contains(u) && !self.upstreams[*u].is_gone(now));
-        if open.is_empty() {
+        let mut candidates = self.classes(s, now);
+        candidates.retain(|(u, _)| !tried.contains(u) && !self.upstreams[*u].is_leaving(now));
+        if candidates.is_empty() {
             return Err(self.refuse(RefusalKind::NoUpstream, Duration::from_secs(1)));
         }
-        let least = open.iter().map(|(u, _)| self.upstreams[*u].backoff_left(now)).min();
-        open.retain(|(u, _)| self.upstreams[*u].backoff_left(now).is_zero());
-        if let (true, Some(wait)) = (open.is_empty(), least) {
+        let min_backoff =
+            candidates.iter().map(|(u, _)| self.upstreams[*u].backoff_left(now)).min();
+        candidates.retain(|(u, _)| self.upstreams[*u].backoff_left(now).is_zero());
+        if let (true, Some(wait)) = (candidates.is_empty(), min_backoff) {
             return Err(self.refuse(RefusalKind::Backoff, wait));
         }
-        let share = s.share;
-        let middle = s.spread.middle();
-        let may_try = repeatable || s.spec.repeat == crate::spec::Repeat::Never;
-        open.retain(|(u, c)| *c != Class::Ejected && self.upstreams[*u].out < share);
-        let canaries = of_class(&open, |c| c == Class::Probation);
-        if may_try && !canaries.is_empty() && self.rng.f64() < CANARY_SHARE * canaries.len() as f64
+        let max_connections = s.max_connections;
+        let median = s.latency.median();
+        let may_probe = repeatable || s.spec.repeat == crate::spec::Repeat::Never;
+        candidates
+            .retain(|(u, c)| *c != Class::Ejected && self.upstreams[*u].out < max_connections);
+        let canaries = of_class(&candidates, |c| c == Class::Probation);
+        if may_probe
+            && !canaries.is_empty()
+            && self.rng.f64() < CANARY_SHARE * canaries.len() as f64
         {
             let u = canaries[self.rng.usize(..canaries.len())];
             return Ok(self.open_attempt(service, u, Reason::Canary, now));
         }
-        let preferred = of_class(&open, |c| c == Class::Preferred);
+        let preferred = of_class(&candidates, |c| c == Class::Preferred);
         let free: Vec<UpstreamKey> =
             preferred.iter().copied().filter(|&u| !self.upstreams[u].is_full(now)).collect();
         if let Some(u) = self.cheaper_of_two(&free, now) {
             return Ok(self.open_attempt(service, u, Reason::TwoChoices, now));
         }
         // Avoided upstreams are used before requests queue at the preferred ones.
-        let rest = of_class(&open, |c| c != Class::Preferred);
+        let rest = of_class(&candidates, |c| c != Class::Preferred);
         if let Some(u) = self.cheaper_of_two(&rest, now) {
             return Ok(self.open_attempt(service, u, Reason::LastResort, now));
         }
         if let Some(u) = self.cheaper_of_two(&preferred, now) {
             return Ok(self.open_attempt(service, u, Reason::TwoChoices, now));
         }
-        Err(self.refuse(RefusalKind::Full, middle))
+        Err(self.refuse(RefusalKind::Full, median))
     }
 
     /// Returns the status of all upstreams, for operators.
@@ -102,17 +108,17 @@
         let valid = self.confirmed.is_some_and(|at| now.since(at) < LEASE);
         let row = |(k, c): (UpstreamKey, Class)| {
             let u = &self.upstreams[k];
-            let spared = c == Class::Preferred && u.class(valid, now) >= Class::Avoided;
+            let floor_kept = c == Class::Preferred && u.class(valid, now) >= Class::Avoided;
             UpstreamStatus {
                 service: s.spec.name.clone(),
                 upstream: u.name.clone(),
-                state: if u.is_gone(now) { "leaving" } else { c.word() },
-                reason: if spared {
+                state: if u.is_leaving(now) { "leaving" } else { c.as_str() },
+                reason: if floor_kept {
                     "the floor keeps it at work".to_owned()
                 } else {
                     u.reason(c, valid)
                 },
-                evidence: Seen { score: s.ledger.score(k), counts: s.ledger.counts(k) },
+                evidence: LocalEvidence { score: s.scores.score(k), counts: s.scores.counts(k) },
                 out: u.out,
             }
         };
@@ -124,20 +130,20 @@
         let valid = self.confirmed.is_some_and(|at| now.since(at) < LEASE);
         let mut all: Vec<(UpstreamKey, Class)> =
             s.upstreams.iter().map(|&u| (u, self.upstreams[u].class(valid, now))).collect();
-        let live = all.iter().filter(|(u, _)| !self.upstreams[*u].is_gone(now)).count();
-        let spare = live.saturating_sub(s.spec.floor.count(s.upstreams.len()));
-        let mut aside: Vec<(Class, u64, UpstreamKey)> = all
+        let live = all.iter().filter(|(u, _)| !self.upstreams[*u].is_leaving(now)).count();
+        let max_ejected = live.saturating_sub(s.spec.floor.count(s.upstreams.len()));
+        let mut unhealthy: Vec<(Class, u64, UpstreamKey)> = all
             .iter()
-            .filter(|(u, c)| *c >= Class::Avoided && !self.upstreams[*u].is_gone(now))
-            .map(|&(u, c)| (c, (s.ledger.score(u) * 1e3) as u64, u))
+            .filter(|(u, c)| *c >= Class::Avoided && !self.upstreams[*u].is_leaving(now))
+            .map(|&(u, c)| (c, (s.scores.score(u) * 1e3) as u64, u))
             .collect();
-        if aside.len() <= spare {
+        if unhealthy.len() <= max_ejected {
             return all;
         }
-        aside.sort_unstable_by(|a, b| b.cmp(a));
-        for (_, _, kept) in aside.into_iter().skip(spare) {
+        unhealthy.sort_unstable_by(|a, b| b.cmp(a));
+        for (_, _, retained) in unhealthy.into_iter().skip(max_ejected) {
             for (u, c) in &mut all {
-                if *u == kept {
+                if *u == retained {
                     *c = Class::Preferred;
                 }
             }
@@ -150,7 +156,7 @@
             return None;
         }
         let a = self.rng.usize(..from.len());
-        // The second draw excludes the first, so that two different upstreams are compared.
+        // The second draw excludes the first, so two different ones are compared if there are two.
         let b = (a + 1 + self.rng.usize(..from.len().max(2) - 1)) % from.len();
         let cost = |u: UpstreamKey| self.upstreams[u].cost(now);
         let (a, b) = (from[a], from[b]);
@@ -166,7 +172,7 @@
     ) -> Pick {
         self.upstreams[u].out += 1;
         let attempt =
-            Attempt { upstream: u, service, started: now, judged: false, answered: false };
+            Attempt { upstream: u, service, started: now, recorded: false, answered: false };
         Pick { attempt: self.attempts.insert(attempt), upstream: u, reason }
     }
 
@@ -177,8 +183,8 @@
 
 impl Upstream {
     /// Returns whether the upstream is leaving, by the list or its own announcement.
-    pub(super) fn is_gone(&self, now: Time) -> bool {
-        self.leaving || self.drained.is_some_and(|at| now.since(at) < DRAIN_MEMORY)
+    pub(super) fn is_leaving(&self, now: Time) -> bool {
+        self.leaving || self.drained.is_some_and(|at| now.since(at) < DRAIN_TTL)
     }
 
     /// Returns the remaining backoff that the upstream requested from this box.
@@ -194,28 +200,28 @@
             Some(Hold::Canary) => return Class::Probation,
             _ => {}
         }
-        let shared = self.shared.map(|h| (h.judgement, now < h.until));
-        match shared {
+        let verdict = self.verdict.map(|h| (h.judgement, now < h.until));
+        match verdict {
             Some((Judgement::Suspect, true)) => return Class::Suspect,
             Some((Judgement::Probation, true)) => return Class::Probation,
             _ => {}
         }
-        match self.own.until {
+        match self.local.until {
             Some(t) if now < t => Class::Avoided,
-            _ if self.own.probation => Class::Probation,
+            _ if self.local.probation => Class::Probation,
             _ => Class::Preferred,
         }
     }
 
     /// Returns a short reason for the class.
     fn reason(&self, c: Class, valid: bool) -> String {
-        let by = self.witnesses;
+        let witnesses = self.witnesses;
         match c {
-            Class::Ejected => format!("ejected by permit, {by} boxes bore witness"),
+            Class::Ejected => format!("ejected by permit, {witnesses} boxes bore witness"),
             Class::Suspect if self.permit.is_some() && !valid => {
-                format!("its permit lapsed; {by} boxes bore witness")
+                format!("its permit lapsed; {witnesses} boxes bore witness")
             }
-            Class::Suspect => format!("{by} boxes bore witness"),
+            Class::Suspect => format!("{witnesses} boxes bore witness"),
             Class::Avoided => "this box's own evidence".to_owned(),
             Class::Probation => "a little work shows whether it recovered".to_owned(),
             Class::Preferred => String::new(),
@@ -224,11 +230,11 @@
 
     fn fresh_load(&self, now: Time) -> f64 {
         let Some((load, at)) = self.load else { return 0.0 };
-        let age = now.since(at).as_secs_f64() / LOAD_LIFE.as_secs_f64();
+        let age = now.since(at).as_secs_f64() / LOAD_TTL.as_secs_f64();
         // A false load report changes the cost by at most two requests, or by one if the response
         // times show an empty queue.
-        let most = if self.quick { LOAD_BUSY } else { LOAD_FULL };
-        load.clamp(0.0, most) * (1.0 - age).max(0.0)
+        let max_load = if self.is_fast { LOAD_BUSY } else { LOAD_FULL };
+        load.clamp(0.0, max_load) * (1.0 - age).max(0.0)
     }
 
     fn is_full(&self, now: Time) -> bool {
@@ -236,16 +242,16 @@
     }
 
     fn cost(&self, now: Time) -> f64 {
-        let age = now.since(self.joined).as_secs_f64() / COLD_START.as_secs_f64();
+        let age = now.since(self.added).as_secs_f64() / SLOW_START.as_secs_f64();
         // Upstreams that were present when this box started are not new.
-        let cold = if self.joined == Time::ZERO { 1.0 } else { 4.0 - 3.0 * age.min(1.0) };
-        let hall = if self.near { 0.0 } else { HALL_COST };
-        (1.0 + self.out as f64 + self.fresh_load(now) + hall) * cold
+        let slow_start = if self.added == Time::ZERO { 1.0 } else { 4.0 - 3.0 * age.min(1.0) };
+        let hall = if self.same_hall { 0.0 } else { CROSS_HALL_COST };
+        (1.0 + self.out as f64 + self.fresh_load(now) + hall) * slow_start
     }
 }
 
 impl Class {
-    const fn word(self) -> &'static str {
+    const fn as_str(self) -> &'static str {
         match self {
             Self::Preferred => "preferred",
             Self::Probation => "probation",
@@ -256,6 +262,6 @@
     }
 }
 
-fn of_class(open: &[(UpstreamKey, Class)], is: impl Fn(Class) -> bool) -> Vec<UpstreamKey> {
-    open.iter().filter(|(_, c)| is(*c)).map(|(u, _)| *u).collect()
+fn of_class(candidates: &[(UpstreamKey, Class)], is: impl Fn(Class) -> bool) -> Vec<UpstreamKey> {
+    candidates.iter().filter(|(_, c)| is(*c)).map(|(u, _)| *u).collect()
 }
--- a/crates/honeypulley_policy/src/router/evidence.rs
+++ b/crates/honeypulley_policy/src/router/evidence.rs
@@ -9,33 +9,33 @@
 use std::time::Duration;
 
 /// Standard deviations above the median below which a response indicates an empty queue.
-const QUICK: f64 = 1.0;
+const FAST_DEVIATIONS: f64 = 1.0;
 /// Minimum interval between two reports on a service.
-const URGENT_GAP: Duration = Duration::from_millis(20);
+const URGENT_INTERVAL: Duration = Duration::from_millis(20);
 /// Minimum interval between two reports without failures.
-const LAZY_GAP: Duration = Duration::from_secs(1);
+const ROUTINE_INTERVAL: Duration = Duration::from_secs(1);
 /// Size of one report on the wire to both collectors, in bytes.
 const REPORT_BYTES: f64 = 160.0;
 /// Bandwidth for reports without failures, in bytes per second.
 pub(super) const REPORT_RATE: f64 = 3_000.0;
 /// First hold by this box alone; doubles with each relapse.
-const OWN_HOLD: Duration = Duration::from_secs(2);
+const LOCAL_HOLD: Duration = Duration::from_secs(2);
 /// Upper bound of the hold by this box alone.
-const MAX_OWN_HOLD: Duration = Duration::from_secs(60);
+const MAX_LOCAL_HOLD: Duration = Duration::from_secs(60);
 /// Successes that end a probation set by this box.
-const OWN_PROBATION_GOOD: f64 = 3.0;
+const LOCAL_PROBATION_SUCCESSES: f64 = 3.0;
 
 /// Weight of slow or stalled attempts, in tenths, while the whole service is slow.
-const RAISED_TENTHS: u16 = 1;
+const SLOW_SERVICE_TENTHS: u16 = 1;
 /// Additional weight, in tenths, that is reported when this box ejects an upstream.
-const CONVINCED_TENTHS: u16 = 20;
+const EJECTION_TENTHS: u16 = 20;
 /// Recent failures that this box alone requires to avoid an upstream.
-const OWN_LEAST: f64 = 2.5;
+const LOCAL_MIN_FAILURES: f64 = 2.5;
 /// Half-life of the counts that detect a fault shared by all upstreams.
-pub(super) const OWN_SHORT_LIFE: Duration = Duration::from_secs(4);
+pub(super) const LOCAL_SHORT_HALF_LIFE: Duration = Duration::from_secs(4);
 
 /// Returns the score from which this box alone avoids an upstream.
-pub(super) fn own_bar(lean: Lean) -> f64 {
+pub(super) fn local_threshold(lean: Lean) -> f64 {
     lean.mix(9.0, 11.0)
 }
 
@@ -47,15 +47,15 @@
         let (a, took) = (*a, now.since(a.started));
         let Some(s) = self.services.get_mut(a.service) else { return };
         if !ok {
-            return self.witness(k, Evidence::Failure, now);
+            return self.record_evidence(k, Evidence::Failure, now);
         }
-        let slow = s.spread.is_warm() && took > s.slow_limit();
+        let slow = s.latency.is_warm() && took > s.slow_limit();
         if let Some(u) = self.upstreams.get_mut(a.upstream) {
-            u.quick = took < s.spread.limit(QUICK);
+            u.is_fast = took < s.latency.limit(FAST_DEVIATIONS);
         }
-        s.spread.add(took);
+        s.latency.add(took);
         s.budget.earn();
-        self.witness(k, if slow { Evidence::Slow } else { Evidence::Good }, now);
+        self.record_evidence(k, if slow { Evidence::Slow } else { Evidence::Good }, now);
     }
 
     /// Records the signals that an upstream sent in the head of a response.
@@ -67,7 +67,7 @@
             self.reported_load(upstream, load.busy / load.slots.max(1.0), now);
         }
         let Some(u) = self.upstreams.get_mut(upstream) else { return SignalChanges::default() };
-        let leaving = s.leaving && !u.is_gone(now);
+        let leaving = s.leaving && !u.is_leaving(now);
         let until = s.backoff.map(|wait| now + wait).filter(|t| u.backoff.is_none_or(|b| b < *t));
         u.backoff = until.or(u.backoff);
         if s.leaving {
@@ -102,16 +102,16 @@
         match outcome {
             Outcome::Whole | Outcome::Abandoned => {}
             // A busy upstream may reject requests, which is a fault only if the others do not.
-            Outcome::NotRun => self.witness(k, Evidence::Slow, now),
+            Outcome::NotRun => self.record_evidence(k, Evidence::Slow, now),
             Outcome::Failed | Outcome::Refused | Outcome::Unreachable | Outcome::Misdirected => {
-                self.witness(k, Evidence::Failure, now);
+                self.record_evidence(k, Evidence::Failure, now);
             }
-            Outcome::Late => self.witness(k, Evidence::Stall, now),
+            Outcome::Late => self.record_evidence(k, Evidence::Stalled, now),
             Outcome::Wrong => {
                 if let Some(a) = self.attempts.get_mut(k) {
-                    a.judged = false;
+                    a.recorded = false;
                 }
-                self.witness(k, Evidence::Wrong, now);
+                self.record_evidence(k, Evidence::Malformed, now);
             }
         }
         let Some(a) = self.attempts.remove(k) else { return };
@@ -126,65 +126,68 @@
     pub fn tick(&mut self, now: Time) -> Vec<Report> {
         let is_stalled = |a: &super::Attempt| {
             let limit = self.services.get(a.service).map(super::Service::stall_limit);
-            !a.answered && !a.judged && limit.is_some_and(|l| now.since(a.started) > l)
+            !a.answered && !a.recorded && limit.is_some_and(|l| now.since(a.started) > l)
         };
         let stalled: Vec<AttemptKey> =
             self.attempts.iter().filter(|(_, a)| is_stalled(a)).map(|(k, _)| k).collect();
         for k in stalled {
-            self.witness(k, Evidence::Stall, now);
+            self.record_evidence(k, Evidence::Stalled, now);
         }
         self.due_reports(now)
     }
 
-    fn witness(&mut self, k: AttemptKey, e: Evidence, now: Time) {
+    fn record_evidence(&mut self, k: AttemptKey, evidence: Evidence, now: Time) {
         let Some(a) = self.attempts.get_mut(k) else { return };
         // A stalled attempt has already been recorded when it ends later.
-        if a.judged {
+        if a.recorded {
             return;
         }
-        a.judged = true;
+        a.recorded = true;
         let a = *a;
         let Some(u) = self.upstreams.get_mut(a.upstream) else { return };
         let Some(s) = self.services.get_mut(a.service) else { return };
-        let tenths =
-            if e.is_lateness() && s.spread.is_raised() { RAISED_TENTHS } else { e.tenths() };
-        let bad = f64::from(tenths) / 10.0;
-        let good = f64::from(u8::from(e == Evidence::Good));
-        let score = s.ledger.add(a.upstream, good, bad, now);
-        let bar = own_bar(s.spec.lean);
-        let sick = score >= bar && s.ledger.is_outlier(a.upstream, OWN_LEAST);
-        u.pending.0 = u.pending.0.saturating_add(u16::from(e == Evidence::Good));
-        u.pending.1 = u.pending.1.saturating_add(tenths);
+        let weight_tenths = if evidence.is_latency() && s.latency.is_elevated() {
+            SLOW_SERVICE_TENTHS
+        } else {
+            evidence.weight_tenths()
+        };
+        let bad = f64::from(weight_tenths) / 10.0;
+        let good = f64::from(u8::from(evidence == Evidence::Good));
+        let score = s.scores.add(a.upstream, good, bad, now);
+        let threshold = local_threshold(s.spec.lean);
+        let unhealthy = score >= threshold && s.scores.is_outlier(a.upstream, LOCAL_MIN_FAILURES);
+        u.unreported.0 = u.unreported.0.saturating_add(u16::from(evidence == Evidence::Good));
+        u.unreported.1 = u.unreported.1.saturating_add(weight_tenths);
         s.urgent |= bad > 0.0;
-        u.own.after(sick, s.ledger.counts(a.upstream), now);
-        if sick {
+        u.local.update(unhealthy, s.scores.counts(a.upstream), now);
+        if unhealthy {
             // From now on this box sends the upstream few requests, so it reports additional weight
             // now.
-            u.pending.1 = u.pending.1.saturating_add(CONVINCED_TENTHS);
-            s.ledger.reset(a.upstream);
+            u.unreported.1 = u.unreported.1.saturating_add(EJECTION_TENTHS);
+            s.scores.reset(a.upstream);
         }
     }
 
     fn due_reports(&mut self, now: Time) -> Vec<Report> {
-        let budget = self.services.len() as f64 * REPORT_BYTES / self.report_rate;
-        let lazy = LAZY_GAP.max(Duration::from_secs_f64(budget));
+        let min_interval = self.services.len() as f64 * REPORT_BYTES / self.report_rate;
+        let routine = ROUTINE_INTERVAL.max(Duration::from_secs_f64(min_interval));
         let mut reports = Vec::new();
         for s in self.services.values_mut() {
-            let gap = if s.urgent { URGENT_GAP } else { lazy };
-            if now.since(s.reported) < gap {
+            let interval = if s.urgent { URGENT_INTERVAL } else { routine };
+            if now.since(s.last_report) < interval {
                 continue;
             }
             let mut items = Vec::new();
             for &k in &s.upstreams {
                 let u = &mut self.upstreams[k];
-                let (good, bad) = std::mem::take(&mut u.pending);
+                let (good, bad) = std::mem::take(&mut u.unreported);
                 if good > 0 || bad > 0 {
                     items.push(ReportItem { upstream: u.id, good, bad });
                 }
             }
             s.urgent = false;
             if !items.is_empty() {
-                s.reported = now;
+                s.last_report = now;
                 reports.push(Report { service: s.id, reporter: self.id, items });
             }
         }
@@ -192,16 +195,20 @@
     }
 }
 
-impl super::OwnHold {
+impl super::LocalHold {
     /// Updates the hold and the probation of an upstream.
-    fn after(&mut self, sick: bool, counts: (f64, f64), now: Time) {
-        let held = self.until.is_some_and(|t| now < t);
-        if sick && !held {
-            let d = (OWN_HOLD * 2u32.pow(self.round.min(5))).min(MAX_OWN_HOLD);
-            *self = Self { until: Some(now + d), probation: true, round: self.round + 1 };
-        } else if self.probation && !held && counts.0 >= OWN_PROBATION_GOOD && counts.1 < 1.0 {
+    fn update(&mut self, unhealthy: bool, counts: (f64, f64), now: Time) {
+        let is_held = self.until.is_some_and(|t| now < t);
+        if unhealthy && !is_held {
+            let d = (LOCAL_HOLD * 2u32.pow(self.relapses.min(5))).min(MAX_LOCAL_HOLD);
+            *self = Self { until: Some(now + d), probation: true, relapses: self.relapses + 1 };
+        } else if self.probation
+            && !is_held
+            && counts.0 >= LOCAL_PROBATION_SUCCESSES
+            && counts.1 < 1.0
+        {
             self.probation = false;
-            self.round = self.round.saturating_sub(1);
+            self.relapses = self.relapses.saturating_sub(1);
         }
     }
 }
--- a/crates/honeypulley_policy/src/router/refusal.rs
+++ b/crates/honeypulley_policy/src/router/refusal.rs
@@ -30,7 +30,7 @@
 
 /// Refusal of a request that was not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{kind}; come back in {retry_after:?}")]
+#[error("{kind}; retry after {retry_after:?}")]
 pub struct Refusal {
     /// Reason for the refusal.
     pub kind: RefusalKind,
--- a/crates/honeypulley_policy/src/routes.rs
+++ b/crates/honeypulley_policy/src/routes.rs
@@ -73,14 +73,14 @@
     #[must_use]
     pub fn target(&self, draw: f64) -> &str {
         let total: u32 = self.targets.iter().map(|t| t.weight).sum();
-        let mut left = draw * f64::from(total);
+        let mut remaining = draw * f64::from(total);
         for t in &self.targets {
-            left -= f64::from(t.weight);
-            if left < 0.0 {
+            remaining -= f64::from(t.weight);
+            if remaining < 0.0 {
                 return &t.service;
             }
         }
-        &self.targets.last().expect("a route has a target").service
+        &self.targets.last().expect("route has at least one target").service
     }
 }
 
@@ -127,13 +127,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RouteError {
     /// A route has no target service.
-    #[error("route {route} has no service")]
+    #[error("route {route} has no target service")]
     NoTarget {
         /// Name of the route.
         route: String,
     },
     /// A route refers to a service that is not in the table.
-    #[error("route {route} names the service {service}, which is not there")]
+    #[error("route {route} refers to unknown service {service}")]
     UnknownService {
         /// Name of the route.
         route: String,
@@ -141,7 +141,7 @@
         service: String,
     },
     /// A path prefix does not begin and end with a slash.
-    #[error("route {route}: the prefix {prefix} must begin and end with a slash")]
+    #[error("route {route}: prefix {prefix} does not begin and end with a slash")]
     Prefix {
         /// Name of the route.
         route: String,
@@ -163,7 +163,7 @@
     ) -> Result<Self, RouteError> {
         let mut by_prefix = HashMap::with_capacity(routes.len());
         for r in routes {
-            check(&r, &services)?;
+            validate(&r, &services)?;
             by_prefix.insert(format!("{}{}", r.host, r.prefix), Arc::new(r));
         }
         Ok(Self { version, services, limits, organisations: None, routes: by_prefix })
@@ -171,8 +171,8 @@
 
     /// Sets the organisations to which clients must belong.
     #[must_use]
-    pub fn with_organisations(mut self, all: Organisations) -> Self {
-        self.organisations = Some(all);
+    pub fn with_organisations(mut self, organisations: Organisations) -> Self {
+        self.organisations = Some(organisations);
         self
     }
 
@@ -181,11 +181,11 @@
     /// Prefixes match whole path segments, since each of them ends with a slash.
     #[must_use]
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
-        let whole = format!("{host}{path}");
-        let mut end = whole.len();
+        let key = format!("{host}{path}");
+        let mut end = key.len();
         loop {
-            let slash = whole[host.len()..end].rfind('/')? + host.len();
-            if let Some(r) = self.routes.get(&whole[..=slash]) {
+            let slash = key[host.len()..end].rfind('/')? + host.len();
+            if let Some(r) = self.routes.get(&key[..=slash]) {
                 return Some(r);
             }
             end = slash;
@@ -205,7 +205,7 @@
     }
 }
 
-fn check(r: &Route, services: &[ServiceSpec]) -> Result<(), RouteError> {
+fn validate(r: &Route, services: &[ServiceSpec]) -> Result<(), RouteError> {
     let route = r.name.clone();
     if r.targets.iter().all(|t| t.weight == 0) {
         return Err(RouteError::NoTarget { route });
@@ -213,8 +213,8 @@
     if !r.prefix.starts_with('/') || !r.prefix.ends_with('/') {
         return Err(RouteError::Prefix { route, prefix: r.prefix.clone() });
     }
-    let known = |t: &&Target| !services.iter().any(|s| s.name == t.service);
-    match r.targets.iter().find(known) {
+    let is_unknown = |t: &&Target| !services.iter().any(|s| s.name == t.service);
+    match r.targets.iter().find(is_unknown) {
         Some(t) => Err(RouteError::UnknownService { route, service: t.service.clone() }),
         None => Ok(()),
     }
--- a/crates/honeypulley_policy/tests/placement.rs
+++ b/crates/honeypulley_policy/tests/placement.rs
@@ -2,7 +2,7 @@
 
 use honeypulley_policy::limits::{Gcra, RetryBudget};
 use honeypulley_policy::placement::{Role, subset_size, top};
-use honeypulley_policy::spread::Spread;
+use honeypulley_policy::spread::LatencyStats;
 use honeypulley_policy::time::Time;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn losing_a_box_moves_only_what_it_held() {
+fn removing_a_box_moves_only_its_services() {
     let all = names(40);
     let mut moved = 0;
     for s in 0..500 {
@@ -28,25 +28,28 @@
             assert_eq!(before, after);
         }
     }
-    assert!((10..50).contains(&moved), "about one in twenty services, not {moved} of 500");
+    assert!(
+        (10..50).contains(&moved),
+        "expected about one in twenty services, but {moved} of 500 moved"
+    );
 }
 
 #[test]
-fn the_whole_set_is_used_today() {
+fn small_fleets_use_all_upstreams() {
     assert_eq!(subset_size(40, 16, 220), 16);
     assert_eq!(subset_size(40, 6, 220), 6);
 }
 
 #[test]
-fn at_full_size_no_upstream_gets_more_connections_than_it_accepts() {
-    let (boxes, ups) = (names(657), (0..21).map(|i| format!("u{i}")).collect::<Vec<_>>());
-    let d = subset_size(657, 21, 220);
-    assert!(d >= 4, "{d}");
+fn connection_limits_hold_at_full_size() {
+    let (boxes, upstreams) = (names(657), (0..21).map(|i| format!("u{i}")).collect::<Vec<_>>());
+    let subset = subset_size(657, 21, 220);
+    assert!(subset >= 4, "{subset}");
     for service in 0..20 {
         let mut load: BTreeMap<&str, usize> = BTreeMap::new();
         for b in &boxes {
             let key = format!("{service}{b}");
-            for u in top(Role::Subset, &key, ups.iter().map(String::as_str), d) {
+            for u in top(Role::Subset, &key, upstreams.iter().map(String::as_str), subset) {
                 *load.entry(u).or_default() += 1;
             }
         }
@@ -64,20 +67,20 @@
         rate in 1.0f64..100.0,
         burst in 1.0f64..20.0,
     ) {
-        let (mut cell, mut now, mut taken) = (Gcra::new(rate), Time::from_millis(5), Vec::new());
+        let (mut limiter, mut now, mut admitted) = (Gcra::new(rate), Time::from_millis(5), Vec::new());
         for g in gaps {
             now = now + Duration::from_millis(g);
-            match cell.take(burst, now) {
-                Ok(()) => taken.push(now),
+            match limiter.take(burst, now) {
+                Ok(()) => admitted.push(now),
                 Err(wait) => {
-                    let mut later = cell;
-                    let back = now + wait + Duration::from_micros(2);
-                    prop_assert!(later.take(burst, back).is_ok(), "told to come back too soon");
+                    let mut later = limiter;
+                    let retry_at = now + wait + Duration::from_micros(2);
+                    prop_assert!(later.take(burst, retry_at).is_ok(), "retry time is too early");
                 }
             }
         }
-        for (i, a) in taken.iter().enumerate() {
-            for (j, b) in taken.iter().enumerate().skip(i) {
+        for (i, a) in admitted.iter().enumerate() {
+            for (j, b) in admitted.iter().enumerate().skip(i) {
                 let most = rate * b.since(*a).as_secs_f64() + burst + 1.0;
                 prop_assert!(((j - i + 1) as f64) <= most + 1e-6);
             }
@@ -96,24 +99,24 @@
         })
         .count();
     assert!((95..=101).contains(&spent), "{spent}");
-    assert!(!RetryBudget::new(0.0).spend(), "no share, no retry");
+    assert!(!RetryBudget::new(0.0).spend(), "a budget of zero allows no retries");
 }
 
 #[test]
-fn one_slow_upstream_does_not_teach_that_slow_is_usual() {
-    let mut s = Spread::default();
+fn one_slow_upstream_does_not_raise_the_limit() {
+    let mut s = LatencyStats::default();
     for i in 0..2_000u64 {
-        let sick = i % 9 == 0 && i > 1_000;
-        s.add(Duration::from_millis(if sick { 500 } else { 45 + i % 10 }));
+        let slow = i % 9 == 0 && i > 1_000;
+        s.add(Duration::from_millis(if slow { 500 } else { 45 + i % 10 }));
     }
     assert!(s.limit(4.5) < Duration::from_millis(300), "{:?}", s.limit(4.5));
-    assert!(!s.is_raised());
+    assert!(!s.is_elevated());
 }
 
 #[test]
-fn a_service_that_slows_as_a_whole_is_told_apart() {
-    let mut s = Spread::default();
+fn a_slowdown_of_the_whole_service_is_detected() {
+    let mut s = LatencyStats::default();
     (0..2_000u64).for_each(|i| s.add(Duration::from_millis(45 + i % 10)));
     (0..60).for_each(|_| s.add(Duration::from_millis(400)));
-    assert!(s.is_raised());
+    assert!(s.is_elevated());
 }
