--- a/crates/honeypulley_policy/tests/floor.rs
+++ b/crates/honeypulley_policy/tests/floor.rs
@@ -22,13 +22,13 @@
 /// Step of the simulated time, in ms.
 const STEP_MS: u64 = 10;
 /// Window in which most healthy upstreams must receive a request, in ms.
-const SPAN_MS: u64 = 2_000;
+const WINDOW_MS: u64 = 2_000;
 /// Share of the healthy upstreams that must receive a request in each window.
 const FLOOR_SHARE: f64 = 0.7;
 
 /// An attempt that awaits its response.
 #[derive(Debug)]
-struct Waiting {
+struct PendingAttempt {
     from: usize,
     key: AttemptKey,
     ends: u64,
@@ -39,11 +39,11 @@
 #[derive(Debug)]
 struct Hall {
     boxes: Vec<Balancer>,
-    waiting: Vec<Waiting>,
-    hangs_from: u64,
+    pending: Vec<PendingAttempt>,
+    hang_start: u64,
     hanging: BTreeSet<String>,
     /// Number of boxes, counted from the first, that cannot connect to any upstream.
-    cut: usize,
+    disconnected: usize,
     /// Times at which each upstream was sent a request.
     sent: BTreeMap<String, Vec<u64>>,
 }
@@ -51,17 +51,17 @@
 impl Hall {
     fn new(boxes: usize, upstreams: usize) -> Self {
         Self {
-            boxes: (0..boxes).map(|i| a_box(i as u64, boxes, upstreams)).collect(),
-            waiting: Vec::new(),
-            hangs_from: 0,
+            boxes: (0..boxes).map(|i| new_box(i as u64, boxes, upstreams)).collect(),
+            pending: Vec::new(),
+            hang_start: 0,
             hanging: BTreeSet::new(),
-            cut: 0,
+            disconnected: 0,
             sent: BTreeMap::new(),
         }
     }
 
     /// Simulates one hundred requests per second, sent by the boxes in turn.
-    fn play(&mut self, until: u64, repeatable: bool) {
+    fn run(&mut self, until: u64, repeatable: bool) {
         for now in (STEP_MS..until).step_by(STEP_MS as usize) {
             self.step(now);
             let n = now / STEP_MS;
@@ -73,7 +73,7 @@
     fn send(&mut self, from: usize, now: u64, repeatable: bool) {
         let at = Time::from_millis(now);
         let b = &mut self.boxes[from];
-        let service = b.service("s").expect("set up");
+        let service = b.service("s").expect("service is configured");
         b.arrived(service, at);
         let ask = Ask {
             service,
@@ -85,9 +85,9 @@
             route: NameId::of("r"),
         };
         let Ok(pick) = b.pick(&ask, &[], at) else { return };
-        let upstream = b.place(pick.upstream).expect("known").name.to_owned();
-        let hangs = now >= self.hangs_from && self.hanging.contains(&upstream);
-        let (took, outcome) = match (from < self.cut, hangs) {
+        let upstream = b.place(pick.upstream).expect("upstream is known").name.to_owned();
+        let hangs = now >= self.hang_start && self.hanging.contains(&upstream);
+        let (took, outcome) = match (from < self.disconnected, hangs) {
             (true, _) => (CONNECT_MS, Outcome::Unreachable),
             (false, true) => (TIMEOUT_MS, Outcome::Abandoned),
             (false, false) => (WORK_MS, Outcome::Whole),
@@ -95,13 +95,13 @@
         if outcome != Outcome::Unreachable {
             self.sent.entry(upstream).or_default().push(now);
         }
-        self.waiting.push(Waiting { from, key: pick.attempt, ends: now + took, outcome });
+        self.pending.push(PendingAttempt { from, key: pick.attempt, ends: now + took, outcome });
     }
 
     /// Ends attempts that are due, checks the pending ones and delivers all news.
     fn step(&mut self, now: u64) {
         let at = Time::from_millis(now);
-        for w in &self.waiting {
+        for w in &self.pending {
             let b = &mut self.boxes[w.from];
             if now < w.ends {
                 b.still_open(w.key, at);
@@ -112,7 +112,7 @@
             }
             b.finish(w.key, w.outcome, at);
         }
-        self.waiting.retain(|w| now < w.ends);
+        self.pending.retain(|w| now < w.ends);
         for from in 0..self.boxes.len() {
             let news = self.boxes[from].take_news();
             let sender = NameId::of(&from.to_string());
@@ -125,10 +125,10 @@
     }
 
     /// Returns the number of healthy upstreams that were sent a request in a window.
-    fn working(&self, from: u64) -> usize {
-        let is_in = |at: &u64| (from..from + SPAN_MS).contains(at);
-        let well = self.sent.iter().filter(|(name, _)| !self.hanging.contains(*name));
-        well.filter(|(_, at)| at.iter().any(is_in)).count()
+    fn active(&self, from: u64) -> usize {
+        let is_within = |at: &u64| (from..from + WINDOW_MS).contains(at);
+        let healthy = self.sent.iter().filter(|(name, _)| !self.hanging.contains(*name));
+        healthy.filter(|(_, at)| at.iter().any(is_within)).count()
     }
 }
 
@@ -136,7 +136,7 @@
     format!("u{i}")
 }
 
-fn a_box(seed: u64, boxes: usize, upstreams: usize) -> Balancer {
+fn new_box(seed: u64, boxes: usize, upstreams: usize) -> Balancer {
     let rule = RetryRule { ratio: 0.2, slack: 58.0, window: Duration::from_secs(10) };
     let mut b = Balancer::new("h", rule, seed);
     b.set_services(&[ServiceSpec::builder().name("s").build()], Time::ZERO);
@@ -155,37 +155,40 @@
 }
 
 /// Asserts that enough healthy upstreams received a request in each window.
-fn assert_floor(hall: &Hall, well: usize, spans: std::ops::Range<u64>) {
-    for from in spans.step_by(500) {
-        let working = hall.working(from);
-        let share = working as f64 / well as f64;
-        assert!(share >= FLOOR_SHARE, "{working} of {well} got work from {from} ms on");
+fn assert_floor(hall: &Hall, healthy: usize, windows: std::ops::Range<u64>) {
+    for from in windows.step_by(500) {
+        let active = hall.active(from);
+        let share = active as f64 / healthy as f64;
+        assert!(
+            share >= FLOOR_SHARE,
+            "{active} of {healthy} healthy upstreams received requests from {from} ms on"
+        );
     }
 }
 
 #[rstest]
 #[case::repeatable(true)]
-#[case::unsafe_ones(false)]
-fn upstreams_that_are_well_get_work_while_the_others_hang(#[case] repeatable: bool) {
+#[case::unsafe_requests(false)]
+fn healthy_upstreams_receive_requests_while_the_others_hang(#[case] repeatable: bool) {
     let (upstreams, hanging) = (40, 34);
     let mut hall = Hall::new(20, upstreams);
     hall.hanging = (0..hanging).map(name).collect();
-    hall.hangs_from = 6_000;
-    hall.play(16_000, repeatable);
+    hall.hang_start = 6_000;
+    hall.run(16_000, repeatable);
     assert_floor(&hall, upstreams - hanging, 6_000..14_000);
 }
 
-/// Boxes that have lost their own network paths must not keep other boxes from sending.
+/// Guards against boxes without network paths that keep other boxes from sending.
 ///
 /// Otherwise their failure reports make all other boxes avoid healthy upstreams: 8 of 13 healthy
 /// upstreams of a large deployment received no request for two seconds.
 #[rstest]
 #[case::repeatable(true)]
-#[case::unsafe_ones(false)]
-fn boxes_that_reach_no_upstream_keep_no_work_from_them(#[case] repeatable: bool) {
+#[case::unsafe_requests(false)]
+fn disconnected_boxes_starve_no_upstream(#[case] repeatable: bool) {
     let upstreams = 20;
     let mut hall = Hall::new(20, upstreams);
-    hall.cut = 4;
-    hall.play(16_000, repeatable);
+    hall.disconnected = 4;
+    hall.run(16_000, repeatable);
     assert_floor(&hall, upstreams, 3_000..14_000);
 }
--- a/crates/honeypulley_policy/tests/load/hall.rs
+++ b/crates/honeypulley_policy/tests/load/hall.rs
@@ -1,7 +1,7 @@
 //! Discrete-event simulation of the boxes, upstreams and clients of one data hall.
 //!
 //! The simulation uses no sockets and no clock, so a seed always gives the same result. News of one
-//! box reach the others after [`NEWS_MS`], as by datagram.
+//! box reach the others after [`NEWS_DELAY_MS`], as by datagram.
 
 use crate::plan::{Plan, Policy};
 use crate::worker::Worker;
@@ -18,59 +18,61 @@
 
 /// Step of the simulated time, in ms.
 const STEP_MS: u64 = 5;
-/// Delay of news between boxes, in ms: a datagram, and scheduling on a busy box.
-const NEWS_MS: u64 = 15;
-/// Time per box of the data hall for which finished attempts are batched, in ms.
+/// Delay of news between boxes, in ms: network and scheduling on a busy box.
+const NEWS_DELAY_MS: u64 = 15;
+/// Time per box for which news of finished attempts is batched, in ms.
 ///
-/// Boxes limit the total to [`MOST_HOLD_MS`].
-const HOLD_A_BOX_MS: f64 = 2.5;
-const MOST_HOLD_MS: f64 = 150.0;
+/// Boxes limit the total to [`MAX_BATCH_MS`].
+const BATCH_PER_BOX_MS: f64 = 2.5;
+const MAX_BATCH_MS: f64 = 150.0;
 /// Network round trip to an upstream, in ms.
-const WAY_MS: u64 = 3;
+const ROUND_TRIP_MS: u64 = 3;
 /// Connection timeout, in ms.
 const CONNECT_MS: u64 = 200;
 /// Length of an upstream's queue, beyond which it rejects requests.
-const QUEUE: usize = 12;
+const QUEUE_LEN: usize = 12;
 /// Request timeout and target latency, in ms.
-const LIMIT_MS: u64 = 8_000;
-const AIM_MS: u64 = 1_500;
+const TIMEOUT_MS: u64 = 8_000;
+const TARGET_MS: u64 = 1_500;
 /// Maximum number of upstreams to which one request is sent.
-const MOST_SENDS: usize = 4;
+const MAX_ATTEMPTS: usize = 4;
 /// Warm-up time that is excluded from the results, in ms.
-const WARM_MS: u64 = 8_000;
+const WARM_UP_MS: u64 = 8_000;
 
 /// Numbers of requests by result.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Count {
+pub struct Counts {
     pub sent: usize,
-    pub in_aim: usize,
+    pub on_target: usize,
     pub late: usize,
     pub refused: usize,
     pub failed: usize,
     /// Number of retries.
-    pub again: usize,
+    pub retries: usize,
     /// Number of first attempts that were probes.
-    pub trials: usize,
+    pub probes: usize,
 }
 
-impl Count {
-    pub fn lost(&self) -> f64 {
+impl Counts {
+    pub fn lost_share(&self) -> f64 {
         (self.refused + self.failed) as f64 / self.sent.max(1) as f64
     }
 
-    pub fn in_aim(&self) -> f64 {
-        self.in_aim as f64 / self.sent.max(1) as f64
+    pub fn on_target(&self) -> f64 {
+        self.on_target as f64 / self.sent.max(1) as f64
     }
 }
 
 /// Results of a simulation; orders must not be repeated, reads may be.
 #[derive(Clone, Debug, Default)]
 pub struct Report {
-    pub orders: Count,
-    pub reads: Count,
+    pub orders: Counts,
+    pub reads: Counts,
     /// Minimum share of the healthy upstreams that received a request within two seconds.
     pub floor: f64,
-    /// Most attempts of one box from half a second after a rejection to the end of its backoff.
+    /// Most attempts of one box during one backoff.
+    ///
+    /// Counted from half a second after the rejection to the end of the backoff.
     pub most_in_backoff: usize,
     /// Number of rejected attempts.
     pub rejected: usize,
@@ -78,7 +80,7 @@
     ///
     /// As in the operators' definition of the floor, these are windows in which more than a tenth
     /// and less than half of the requests are lost.
-    pub floor_in_trouble: f64,
+    pub degraded_floor: f64,
     /// Most requests that a rate-limited upstream received in four seconds.
     ///
     /// Counted from some time after it first announced its limit.
@@ -91,16 +93,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum End {
     Served,
-    Fails,
+    Failed,
     /// No response until the timeout.
     Hung,
-    Shed,
+    Rejected,
     /// The connection timed out.
-    Unreached,
+    Unreachable,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Sent {
+struct PendingAttempt {
     /// Key of the attempt, if the policy under test picked the upstream.
     key: Option<AttemptKey>,
     ends: u64,
@@ -116,7 +118,7 @@
     began: u64,
     repeatable: bool,
     tried: Vec<usize>,
-    open: Option<Sent>,
+    open: Option<PendingAttempt>,
 }
 
 /// A simulated data hall.
@@ -126,11 +128,11 @@
     boxes: Vec<Balancer>,
     workers: Vec<Worker>,
     by_name: BTreeMap<String, usize>,
-    /// Upstream keys of each box, valid for the upstreams to which it has sent requests.
+    /// Upstream keys of each box, valid once it has sent a request there.
     keys: Vec<Vec<UpstreamKey>>,
     news: VecDeque<(u64, usize, Vec<News>)>,
     /// Batched news of each box and the times at which they arose.
-    held: Vec<Vec<(u64, News)>>,
+    batched: Vec<Vec<(u64, News)>>,
     requests: Vec<Request>,
     /// Start time of each request and whether it was served.
     outcomes: Vec<(u64, bool)>,
@@ -139,7 +141,7 @@
 }
 
 /// Simulates a plan for `secs` seconds.
-pub fn play(plan: Plan, secs: u64) -> Report {
+pub fn simulate(plan: Plan, secs: u64) -> Report {
     let until = secs * 1_000;
     let mut hall = Hall::new(plan, until);
     let mut due = [0.0_f64; 2];
@@ -154,11 +156,12 @@
         }
     }
     hall.report.floor = hall.floor(until, |_| true);
-    hall.report.floor_in_trouble = hall.floor(until, |lost| lost > 0.1 && lost < 0.5);
+    hall.report.degraded_floor =
+        hall.floor(until, |lost_share| lost_share > 0.1 && lost_share < 0.5);
     hall.report.most_in_backoff =
         hall.workers.iter().map(Worker::most_in_backoff).max().unwrap_or(0);
     hall.report.rejected = hall.workers.iter().map(|w| w.rejected).sum();
-    (hall.report.most_sent, hall.report.limit_used) = hall.limits(until);
+    (hall.report.most_sent, hall.report.limit_used) = hall.limit_usage(until);
     hall.report
 }
 
@@ -167,11 +170,11 @@
         let mut rng = fastrand::Rng::with_seed(plan.seed);
         Self {
             workers: (0..plan.upstreams).map(|_| Worker::new(&plan, until, &mut rng)).collect(),
-            boxes: (0..plan.boxes).map(|i| a_box(&plan, i as u64)).collect(),
+            boxes: (0..plan.boxes).map(|i| new_box(&plan, i as u64)).collect(),
             by_name: (0..plan.upstreams).map(|i| (name(i), i)).collect(),
             keys: vec![vec![UpstreamKey::default(); plan.upstreams]; plan.boxes],
             news: VecDeque::new(),
-            held: vec![Vec::new(); plan.boxes],
+            batched: vec![Vec::new(); plan.boxes],
             requests: Vec::new(),
             outcomes: Vec::new(),
             report: Report::default(),
@@ -180,9 +183,9 @@
         }
     }
 
-    /// Updates the counts for the kind of a request, unless it started during the warm-up.
-    fn count(&mut self, r: &Request, add: impl Fn(&mut Count)) {
-        if r.began >= WARM_MS {
+    /// Updates the counts of a request, unless it started during the warm-up.
+    fn count(&mut self, r: &Request, add: impl Fn(&mut Counts)) {
+        if r.began >= WARM_UP_MS {
             add(if r.repeatable { &mut self.report.reads } else { &mut self.report.orders });
         }
     }
@@ -191,7 +194,7 @@
         let from = self.rng.usize(..self.plan.boxes);
         let mut r = Request { from, began: now, repeatable, tried: Vec::new(), open: None };
         self.count(&r, |c| c.sent += 1);
-        let service = self.boxes[from].service("s").expect("set up");
+        let service = self.boxes[from].service("s").expect("service is configured");
         self.boxes[from].arrived(service, Time::from_millis(now));
         if self.send(&mut r, now) {
             self.requests.push(r);
@@ -203,16 +206,16 @@
 
     /// Returns the timeout of a request, in ms.
     fn limit(&self) -> u64 {
-        if self.plan.fails_ms > 0 { self.plan.fails_ms } else { LIMIT_MS }
+        if self.plan.fails_after_ms > 0 { self.plan.fails_after_ms } else { TIMEOUT_MS }
     }
 
     fn ask(&self, r: &Request, now: u64) -> Ask {
         Ask {
-            service: self.boxes[r.from].service("s").expect("set up"),
+            service: self.boxes[r.from].service("s").expect("service is configured"),
             repeatable: r.repeatable,
             priority: 0,
             bulky: false,
-            aim: Some(Duration::from_millis(AIM_MS)),
+            aim: Some(Duration::from_millis(TARGET_MS)),
             left: Some(Duration::from_millis((r.began + self.limit()).saturating_sub(now))),
             route: NameId(u64::from(r.repeatable)),
         }
@@ -220,39 +223,39 @@
 
     /// Sends a request once and returns whether an upstream was available.
     fn send(&mut self, r: &mut Request, now: u64) -> bool {
-        let chosen = match self.plan.policy {
-            Policy::Ours => self.ask_box(r, now),
-            Policy::Naive => self.draw(r, now).map(|i| (i, None)),
-            Policy::Oracle => self.least_busy_well(r, now).map(|i| (i, None)),
+        let picked = match self.plan.policy {
+            Policy::Tested => self.pick_by_policy(r, now),
+            Policy::Naive => self.pick_of_two(r, now).map(|i| (i, None)),
+            Policy::Oracle => self.pick_healthy(r, now).map(|i| (i, None)),
         };
-        let Some((worker, key)) = chosen else { return false };
-        let (ends, end) = self.work(r.from, worker, now);
+        let Some((worker, key)) = picked else { return false };
+        let (ends, end) = self.process(r.from, worker, now);
         r.tried.push(worker);
-        let limit = self.plan.need.limit(worker, ends);
-        r.open = Some(Sent { key, ends, end, limit, worker });
+        let limit = self.plan.limits.limit(worker, ends);
+        r.open = Some(PendingAttempt { key, ends, end, limit, worker });
         true
     }
 
-    fn ask_box(&mut self, r: &Request, now: u64) -> Option<(usize, Option<AttemptKey>)> {
+    fn pick_by_policy(&mut self, r: &Request, now: u64) -> Option<(usize, Option<AttemptKey>)> {
         let ask = self.ask(r, now);
         let tried: Vec<UpstreamKey> = r.tried.iter().map(|&i| self.keys[r.from][i]).collect();
         let b = &mut self.boxes[r.from];
         let pick = b.pick(&ask, &tried, Time::from_millis(now)).ok()?;
-        let worker = self.by_name[b.place(pick.upstream).expect("known").name];
+        let worker = self.by_name[b.place(pick.upstream).expect("upstream is known").name];
         self.keys[r.from][worker] = pick.upstream;
-        self.count(r, |c| c.trials += usize::from(pick.reason == Reason::Canary));
+        self.count(r, |c| c.probes += usize::from(pick.reason == Reason::Canary));
         Some((worker, Some(pick.attempt)))
     }
 
-    fn draw(&mut self, r: &Request, now: u64) -> Option<usize> {
+    fn pick_of_two(&mut self, r: &Request, now: u64) -> Option<usize> {
         let left: Vec<usize> = self.untried(r).collect();
         let pair = [self.rng.choice(&left)?, self.rng.choice(&left)?];
         pair.into_iter().copied().min_by_key(|&i| self.workers[i].busy(now))
     }
 
-    fn least_busy_well(&self, r: &Request, now: u64) -> Option<usize> {
-        let well = self.untried(r).filter(|&i| !self.workers[i].is_ill(now));
-        well.min_by_key(|&i| self.workers[i].busy(now))
+    fn pick_healthy(&self, r: &Request, now: u64) -> Option<usize> {
+        let healthy = self.untried(r).filter(|&i| !self.workers[i].is_faulty(now));
+        healthy.min_by_key(|&i| self.workers[i].busy(now))
     }
 
     fn untried<'a>(&self, r: &'a Request) -> impl Iterator<Item = usize> + 'a {
@@ -260,33 +263,35 @@
     }
 
     /// Lets an upstream process a request; returns when and how the attempt ends.
-    fn work(&mut self, from: usize, i: usize, now: u64) -> (u64, End) {
+    fn process(&mut self, from: usize, i: usize, now: u64) -> (u64, End) {
         let plan = self.plan;
-        if from < plan.cut.boxes && i < plan.cut.upstreams {
-            return (now + CONNECT_MS, End::Unreached);
+        if from < plan.partition.boxes && i < plan.partition.upstreams {
+            return (now + CONNECT_MS, End::Unreachable);
         }
         let w = &mut self.workers[i];
         w.sent.push(now);
         w.count_backoff(from, now);
         w.ends.retain(|&e| e > now);
-        let sheds = (plan.sheds.from..plan.sheds.to).contains(&now);
-        if sheds && self.rng.f64() < plan.sheds.share || w.ends.len() >= plan.slots + QUEUE {
-            return (now + WAY_MS, End::Shed);
+        let shedding = (plan.shedding.from..plan.shedding.to).contains(&now);
+        if shedding && self.rng.f64() < plan.shedding.share
+            || w.ends.len() >= plan.slots + QUEUE_LEN
+        {
+            return (now + ROUND_TRIP_MS, End::Rejected);
         }
-        if w.is_ill(now) && self.rng.f64() < plan.fails {
-            if plan.fails_ms == 0 {
-                return (now + WAY_MS, End::Fails);
+        if w.is_faulty(now) && self.rng.f64() < plan.fault_rate {
+            if plan.fails_after_ms == 0 {
+                return (now + ROUND_TRIP_MS, End::Failed);
             }
-            w.ends.push(now + plan.fails_ms);
-            return (now + plan.fails_ms, End::Hung);
+            w.ends.push(now + plan.fails_after_ms);
+            return (now + plan.fails_after_ms, End::Hung);
         }
         // One request in 33 takes 2.5 times as long.
         let long = if self.rng.f64() < 0.03 { 2.5 } else { 1.0 };
         let took = plan.work_ms * (0.6 + 0.8 * self.rng.f64()) * long;
         let ends = w.free_at(plan.slots, now) + took as u64;
         w.ends.push(ends);
-        let end = if self.rng.f64() < plan.base { End::Fails } else { End::Served };
-        (ends + WAY_MS, end)
+        let end = if self.rng.f64() < plan.base_rate { End::Failed } else { End::Served };
+        (ends + ROUND_TRIP_MS, end)
     }
 
     fn step(&mut self, now: u64) {
@@ -298,23 +303,23 @@
             }
         }
         for r in std::mem::take(&mut self.requests) {
-            self.go_on(r, now);
+            self.advance(r, now);
         }
-        let hold = (HOLD_A_BOX_MS * (self.plan.boxes - 1) as f64).min(MOST_HOLD_MS) as u64;
+        let hold = (BATCH_PER_BOX_MS * (self.plan.boxes - 1) as f64).min(MAX_BATCH_MS) as u64;
         for (from, b) in self.boxes.iter_mut().enumerate() {
-            let held = &mut self.held[from];
-            held.extend(b.take_news().into_iter().map(|n| (now, n)));
-            let waits = held.first().is_none_or(|&(at, _)| now < at + hold);
-            if !waits || !held.iter().all(|(_, n)| n.can_wait()) {
+            let batched = &mut self.batched[from];
+            batched.extend(b.take_news().into_iter().map(|n| (now, n)));
+            let waits = batched.first().is_none_or(|&(at, _)| now < at + hold);
+            if !waits || !batched.iter().all(|(_, n)| n.can_wait()) {
                 let aged = |(at, n): (u64, News)| n.aged(Duration::from_millis(now - at));
-                let news = held.drain(..).map(aged).collect();
-                self.news.push_back((now + NEWS_MS, from, news));
+                let news = batched.drain(..).map(aged).collect();
+                self.news.push_back((now + NEWS_DELAY_MS, from, news));
             }
         }
     }
 
     /// Ends a request that is due, or retries it as the serving path does.
-    fn go_on(&mut self, mut r: Request, now: u64) {
+    fn advance(&mut self, mut r: Request, now: u64) {
         let at = Time::from_millis(now);
         let Some(sent) = r.open else { return };
         if sent.ends > now {
@@ -326,49 +331,49 @@
         }
         self.end(r.from, &sent, at);
         if sent.end == End::Served {
-            let is_late = now - r.began > AIM_MS;
+            let is_late = now - r.began > TARGET_MS;
             self.outcomes.push((r.began, true));
-            self.count(&r, |c| if is_late { c.late += 1 } else { c.in_aim += 1 });
+            self.count(&r, |c| if is_late { c.late += 1 } else { c.on_target += 1 });
             return;
         }
-        if self.may_repeat(&r, sent.end, now) && self.send(&mut r, now) {
-            self.count(&r, |c| c.again += 1);
+        if self.may_retry(&r, sent.end, now) && self.send(&mut r, now) {
+            self.count(&r, |c| c.retries += 1);
             self.requests.push(r);
             return;
         }
         self.outcomes.push((r.began, false));
-        let is_unrun = matches!(sent.end, End::Shed | End::Unreached);
-        self.count(&r, |c| if is_unrun { c.refused += 1 } else { c.failed += 1 });
+        let is_not_run = matches!(sent.end, End::Rejected | End::Unreachable);
+        self.count(&r, |c| if is_not_run { c.refused += 1 } else { c.failed += 1 });
     }
 
-    fn may_repeat(&mut self, r: &Request, end: End, now: u64) -> bool {
+    fn may_retry(&mut self, r: &Request, end: End, now: u64) -> bool {
         let ask = self.ask(r, now);
         let b = &mut self.boxes[r.from];
-        if end == End::Unreached {
+        if end == End::Unreachable {
             // Nothing was sent, so a retry costs no budget.
-            return r.tried.len() < MOST_SENDS;
+            return r.tried.len() < MAX_ATTEMPTS;
         }
-        (r.repeatable || end == End::Shed)
-            && r.tried.len() < MOST_SENDS
+        (r.repeatable || end == End::Rejected)
+            && r.tried.len() < MAX_ATTEMPTS
             && b.is_in_time(&ask)
             && b.spend_retry(ask.service, Resend::Failed, Time::from_millis(now))
     }
 
     /// Reports the result of an attempt to the box.
-    fn end(&mut self, from: usize, sent: &Sent, at: Time) {
+    fn end(&mut self, from: usize, sent: &PendingAttempt, at: Time) {
         let Some(key) = sent.key else { return };
         let b = &mut self.boxes[from];
         let outcome = match sent.end {
-            End::Shed => {
+            End::Rejected => {
                 let backoff =
                     (self.plan.backoff_ms > 0).then(|| Duration::from_millis(self.plan.backoff_ms));
                 b.signalled(key, &Signals { backoff, ..Signals::default() }, at);
                 self.workers[sent.worker].reject(from, at.as_micros() / 1_000, &self.plan);
                 Outcome::NotRun
             }
-            End::Unreached => Outcome::Unreachable,
+            End::Unreachable => Outcome::Unreachable,
             End::Hung => Outcome::Late,
-            End::Served | End::Fails => {
+            End::Served | End::Failed => {
                 b.answered(key, sent.end == End::Served, at);
                 b.signalled(key, &Signals { limit: sent.limit, ..Signals::default() }, at);
                 if sent.limit.is_none() {
@@ -380,28 +385,29 @@
         b.finish(key, outcome, at);
     }
 
-    /// Returns the most requests to a limited upstream in four seconds, and the limits' usage.
+    /// Returns the most requests to a limited upstream, and the limits' usage.
     ///
-    /// The usage is the number of requests to all limited upstreams relative to what their limits
-    /// allow.
-    fn limits(&self, until: u64) -> (usize, f64) {
+    /// The most requests are those within four seconds. The usage is the number of requests to all
+    /// limited upstreams relative to what their limits allow.
+    fn limit_usage(&self, until: u64) -> (usize, f64) {
         const WINDOW_MS: u64 = 4_000;
-        const CONTACT_MS: u64 = 3_000;
-        let need = self.plan.need;
-        let from = need.from + CONTACT_MS;
+        const SETTLE_MS: u64 = 3_000;
+        let limits = self.plan.limits;
+        let from = limits.from + SETTLE_MS;
         let sent = |w: &Worker| -> Vec<u64> {
             w.sent.iter().copied().filter(|t| (from..until).contains(t)).collect()
         };
-        let all: Vec<Vec<u64>> = self.workers[..need.upstreams].iter().map(sent).collect();
+        let all: Vec<Vec<u64>> = self.workers[..limits.upstreams].iter().map(sent).collect();
         let within =
             |s: &[u64], last: u64| s.iter().filter(|&&t| t <= last && t + WINDOW_MS > last).count();
         let most = all.iter().flat_map(|s| s.iter().map(|&t| within(s, t))).max().unwrap_or(0);
-        let allowed = need.upstreams as f64 * need.rate * until.saturating_sub(from) as f64 / 1e3;
+        let allowed =
+            limits.upstreams as f64 * limits.rate * until.saturating_sub(from) as f64 / 1e3;
         (most, all.iter().map(Vec::len).sum::<usize>() as f64 / allowed.max(1.0))
     }
 
     /// Returns the share of the requests of a window that were not served.
-    fn lost(&self, span: &Range<u64>) -> f64 {
+    fn lost_share(&self, span: &Range<u64>) -> f64 {
         let came = self.outcomes.iter().filter(|(began, _)| span.contains(began));
         let (sent, lost) =
             came.fold((0, 0), |(n, lost), (_, served)| (n + 1, lost + u32::from(!served)));
@@ -414,13 +420,13 @@
     fn floor(&self, until: u64, counts: impl Fn(f64) -> bool) -> f64 {
         let share = |from: u64| {
             let span = from..from + 2_000;
-            let sound = self.workers.iter().filter(|w| w.is_sound(span.start, span.end));
-            let (sound, busy): (Vec<_>, Vec<_>) =
-                sound.map(|w| (w, w.sent.iter().any(|t| span.contains(t)))).unzip();
-            busy.iter().filter(|b| **b).count() as f64 / sound.len().max(1) as f64
+            let healthy = self.workers.iter().filter(|w| w.was_healthy(span.start, span.end));
+            let (healthy, busy): (Vec<_>, Vec<_>) =
+                healthy.map(|w| (w, w.sent.iter().any(|t| span.contains(t)))).unzip();
+            busy.iter().filter(|b| **b).count() as f64 / healthy.len().max(1) as f64
         };
-        let counted = |from: &u64| counts(self.lost(&(*from..from + 2_000)));
-        (WARM_MS..until - 2_000).step_by(500).filter(counted).map(share).fold(1.0, f64::min)
+        let counted = |from: &u64| counts(self.lost_share(&(*from..from + 2_000)));
+        (WARM_UP_MS..until - 2_000).step_by(500).filter(counted).map(share).fold(1.0, f64::min)
     }
 }
 
@@ -428,7 +434,7 @@
     format!("u{i}")
 }
 
-fn a_box(plan: &Plan, seed: u64) -> Balancer {
+fn new_box(plan: &Plan, seed: u64) -> Balancer {
     let slack = 1.5 * plan.boxes as f64;
     let rule = RetryRule { ratio: 0.2, slack, window: Duration::from_secs(10) };
     let mut b = Balancer::new("h", rule, seed).with_past(Past::Empty);
--- a/crates/honeypulley_policy/tests/load/main.rs
+++ b/crates/honeypulley_policy/tests/load/main.rs
@@ -7,8 +7,8 @@
 mod plan;
 mod worker;
 
-use hall::{Report, play};
-use plan::{Cut, Need, Plan, Policy, Sheds};
+use hall::{Report, simulate};
+use plan::{Partition, Plan, Policy, RateLimits, Shedding};
 use rstest::rstest;
 
 /// Simulated seconds per run.
@@ -16,48 +16,50 @@
 /// Number of seeds per result.
 const SEEDS: u64 = 4;
 
-/// Thirty seconds of low load in one data hall of a large fleet.
+/// Baseline load in one data hall of a large fleet, with few faults.
 ///
 /// 58 boxes send requests to 57 upstreams with three slots each, a fifth of which are busy.
 /// Processing takes 320 ms, after which 1.2 % of all requests fail on any upstream. In the logs of
 /// a fleet of 293 boxes, each upstream becomes faulty once in 27 s of processing time. Three
 /// quarters of the requests to it then fail at once, and 81 %, 59 % and 25 % of the faulty
 /// upstreams are still faulty after 3 s, 4 s and 6 s.
-const CALM: Plan = Plan {
-    policy: Policy::Ours,
+const BASELINE: Plan = Plan {
+    policy: Policy::Tested,
     boxes: 58,
     upstreams: 57,
     slots: 3,
     orders: 110.0,
     reads: 6.0,
     work_ms: 320.0,
-    base: 0.012,
+    base_rate: 0.012,
     gap_s: 25.0,
-    spell_s: 5.0,
-    fails: 0.75,
-    fails_ms: 0,
-    sheds: Sheds { from: 0, to: 0, share: 0.0 },
+    fault_s: 5.0,
+    fault_rate: 0.75,
+    fails_after_ms: 0,
+    shedding: Shedding { from: 0, to: 0, share: 0.0 },
     backoff_ms: 0,
-    cut: Cut { boxes: 0, upstreams: 0 },
-    need: Need { upstreams: 0, rate: 0.0, from: 0 },
+    partition: Partition { boxes: 0, upstreams: 0 },
+    limits: RateLimits { upstreams: 0, rate: 0.0, from: 0 },
     seed: 1,
 };
-/// Low load in a data hall of a small fleet, where the floor needs nearly all upstreams.
-const SMALL: Plan = Plan { boxes: 12, upstreams: 6, orders: 21.0, reads: 3.0, ..CALM };
-/// Low load with upstreams that become faulty twice as often.
-const PRONE: Plan = Plan { gap_s: 13.0, ..CALM };
-/// Low load with upstreams that become faulty every twelve seconds, so that many requests fail.
-const ILL: Plan = Plan { gap_s: 7.0, ..CALM };
-/// Low load where a fifth of the boxes cannot connect to two fifths of the upstreams.
+/// Baseline load in a small fleet, where the floor needs nearly all upstreams.
+const SMALL: Plan = Plan { boxes: 12, upstreams: 6, orders: 21.0, reads: 3.0, ..BASELINE };
+/// Baseline load with upstreams that become faulty twice as often.
+const FREQUENT_FAULTS: Plan = Plan { gap_s: 13.0, ..BASELINE };
+/// Baseline load with faults every twelve seconds, so that many requests fail.
+const MANY_FAULTS: Plan = Plan { gap_s: 7.0, ..BASELINE };
+/// Baseline load where some boxes cannot connect to some upstreams.
 ///
-/// The boxes retry on other upstreams at once, so no requests are lost.
-const CUT: Plan = Plan { cut: Cut { boxes: 12, upstreams: 23 }, ..CALM };
-/// Low load with half of the slots busy.
-const BUSY: Plan = Plan { orders: 200.0, ..CALM };
-/// Low load where all upstreams reject 45 % of the requests for ten seconds.
+/// A fifth of the boxes is disconnected from two fifths of the upstreams. These boxes retry on
+/// other upstreams at once, so no requests are lost.
+const PARTITIONED: Plan = Plan { partition: Partition { boxes: 12, upstreams: 23 }, ..BASELINE };
+/// Baseline load with half of the slots busy.
+const BUSY: Plan = Plan { orders: 200.0, ..BASELINE };
+/// Baseline load where all upstreams reject 45 % of the requests for ten seconds.
 ///
 /// The upstreams have free slots, so the retry budget is the limiting factor.
-const SHEDDING: Plan = Plan { sheds: Sheds { from: 10_000, to: 20_000, share: 0.45 }, ..CALM };
+const SHEDDING: Plan =
+    Plan { shedding: Shedding { from: 10_000, to: 20_000, share: 0.45 }, ..BASELINE };
 
 /// Load of a fleet whose faulty upstreams leave requests pending.
 ///
@@ -70,8 +72,8 @@
     orders: 156.0,
     reads: 4.0,
     work_ms: 240.0,
-    fails_ms: 3_000,
-    ..CALM
+    fails_after_ms: 3_000,
+    ..BASELINE
 };
 
 /// Downloads on a route without a timeout, which hang until the client gives up.
@@ -85,53 +87,58 @@
     orders: 0.0,
     reads: 77.0,
     work_ms: 200.0,
-    fails_ms: 8_000,
-    ..CALM
+    fails_after_ms: 8_000,
+    ..BASELINE
 };
 
-/// A small data hall where two upstreams announce a limit of 2.2 requests per second.
+/// A small data hall where two upstreams announce a rate limit.
 ///
-/// The limit is somewhat over half of their usual traffic. On a fleet of forty boxes, upstreams
-/// that announced limits of 2 and 3.1 requests per second were sent 6 and 10.
-const IN_NEED: Plan = Plan {
+/// The limit of 2.2 requests per second is somewhat over half of their usual traffic. On a fleet of
+/// forty boxes, upstreams that announced limits of 2 and 3.1 requests per second were sent 6 and
+/// 10.
+const LIMITED: Plan = Plan {
     boxes: 12,
     upstreams: 10,
     orders: 30.0,
     reads: 6.0,
-    need: Need { upstreams: 2, rate: 2.2, from: 10_000 },
-    ..CALM
+    limits: RateLimits { upstreams: 2, rate: 2.2, from: 10_000 },
+    ..BASELINE
 };
 /// The same with limits of one request per second.
-const IN_GREAT_NEED: Plan =
-    Plan { need: Need { upstreams: 2, rate: 1.0, from: 10_000 }, ..IN_NEED };
-/// A large fleet where all upstreams announce a limit of half of their usual traffic.
-const ALL_IN_NEED: Plan = Plan { need: Need { upstreams: 57, rate: 1.0, from: 10_000 }, ..CALM };
-/// The same with a tenth of the traffic, or nearly one minute per box and upstream.
-const ALL_IN_GREAT_NEED: Plan =
-    Plan { need: Need { upstreams: 57, rate: 0.2, from: 10_000 }, ..CALM };
+const LOW_LIMIT: Plan =
+    Plan { limits: RateLimits { upstreams: 2, rate: 1.0, from: 10_000 }, ..LIMITED };
+/// A large fleet where all upstreams announce half of their usual traffic.
+const ALL_LIMITED: Plan =
+    Plan { limits: RateLimits { upstreams: 57, rate: 1.0, from: 10_000 }, ..BASELINE };
+/// The same with a tenth of the traffic.
+///
+/// Each box sends an upstream one request in nearly a minute.
+const ALL_LOW_LIMIT: Plan =
+    Plan { limits: RateLimits { upstreams: 57, rate: 0.2, from: 10_000 }, ..BASELINE };
 
 /// Means over all seeds, except for the floor, which is the minimum.
 struct Means {
     /// Share of orders that were not served.
-    lost: f64,
+    lost_share: f64,
     floor: f64,
 }
 
 fn means(plan: Plan) -> Means {
-    let reports: Vec<Report> = (1..=SEEDS).map(|seed| play(Plan { seed, ..plan }, SECS)).collect();
-    let lost = reports.iter().map(|r| r.orders.lost()).sum::<f64>() / SEEDS as f64;
-    let in_aim = reports.iter().map(|r| r.orders.in_aim()).sum::<f64>() / SEEDS as f64;
+    let reports: Vec<Report> =
+        (1..=SEEDS).map(|seed| simulate(Plan { seed, ..plan }, SECS)).collect();
+    let lost_share = reports.iter().map(|r| r.orders.lost_share()).sum::<f64>() / SEEDS as f64;
+    let on_target = reports.iter().map(|r| r.orders.on_target()).sum::<f64>() / SEEDS as f64;
     let floor = reports.iter().map(|r| r.floor).fold(1.0, f64::min);
-    let (orders, trials) = reports
+    let (orders, probes) = reports
         .iter()
-        .fold((0, 0), |(sent, trials), r| (sent + r.orders.sent, trials + r.orders.trials));
+        .fold((0, 0), |(sent, probes), r| (sent + r.orders.sent, probes + r.orders.probes));
     println!(
-        "{:?}: lost {lost:.4}, in aim {in_aim:.4}, trials {:.3}, floor {floor:.2}; {:?}",
+        "{:?}: lost {lost_share:.4}, on target {on_target:.4}, probes {:.3}, floor {floor:.2}; {:?}",
         plan.policy,
-        trials as f64 / orders as f64,
+        probes as f64 / orders as f64,
         reports[0],
     );
-    Means { lost, floor }
+    Means { lost_share, floor }
 }
 
 /// Guards against sending requests to faulty upstreams only to keep the floor.
@@ -139,32 +146,37 @@
 /// When each upstream had to receive a request every 1.65 s, 0.046, 0.021 and 0.076 of the orders
 /// were lost (mean of sixteen seeds). The bounds allow for the variance of four seeds.
 #[rstest]
-#[case::calm(CALM, 0.031)]
+#[case::baseline(BASELINE, 0.031)]
 #[case::small(SMALL, 0.025)]
-#[case::prone(PRONE, 0.045)]
-#[case::ill(ILL, 0.080)]
+#[case::frequent_faults(FREQUENT_FAULTS, 0.045)]
+#[case::many_faults(MANY_FAULTS, 0.080)]
 #[case::busy(BUSY, 0.0235)]
-#[case::cut(CUT, 0.031)]
+#[case::partitioned(PARTITIONED, 0.031)]
 #[case::hanging(HANGING, 0.031)]
-fn orders_are_seldom_lost_to_spells_and_the_floor_is_kept(#[case] plan: Plan, #[case] most: f64) {
-    let ours = means(plan);
-    assert!(ours.lost <= most, "{} of the orders were lost", ours.lost);
-    assert!(ours.floor >= 0.7, "{} of the upstreams that were well had work", ours.floor);
+fn faults_lose_few_orders_and_leave_the_floor(#[case] plan: Plan, #[case] most: f64) {
+    let tested = means(plan);
+    assert!(tested.lost_share <= most, "{} of the orders were lost", tested.lost_share);
+    assert!(tested.floor >= 0.7, "{} of the healthy upstreams received requests", tested.floor);
 }
 
 #[test]
-fn the_calm_load_tells_policies_apart() {
-    let naive = means(Plan { policy: Policy::Naive, ..CALM });
-    let oracle = means(Plan { policy: Policy::Oracle, ..CALM });
-    assert!(naive.lost >= 0.15, "{} of the orders were lost", naive.lost);
-    assert!(oracle.lost <= 0.015, "{} of the orders were lost", oracle.lost);
+fn the_baseline_load_distinguishes_policies() {
+    let naive = means(Plan { policy: Policy::Naive, ..BASELINE });
+    let oracle = means(Plan { policy: Policy::Oracle, ..BASELINE });
+    assert!(naive.lost_share >= 0.15, "{} of the orders were lost", naive.lost_share);
+    assert!(oracle.lost_share <= 0.015, "{} of the orders were lost", oracle.lost_share);
 }
 
 #[test]
-fn where_all_turn_requests_away_what_is_lost_is_near_what_the_budget_costs() {
-    let ours = means(SHEDDING);
+fn shedding_loses_little_more_than_the_oracle() {
+    let tested = means(SHEDDING);
     let oracle = means(Plan { policy: Policy::Oracle, ..SHEDDING });
-    assert!(ours.lost <= oracle.lost + 0.035, "{} and {}", ours.lost, oracle.lost);
+    assert!(
+        tested.lost_share <= oracle.lost_share + 0.035,
+        "lost {} with the policy and {} with the oracle",
+        tested.lost_share,
+        oracle.lost_share
+    );
 }
 
 /// The operators' bound is 1.5 times the limit over four seconds, plus five requests.
@@ -172,29 +184,38 @@
 /// The limits must also be used up to a minimum, since an upstream that announces a limit is not
 /// faulty.
 #[rstest]
-#[case::two(IN_NEED, SECS, 0.6)]
-#[case::two_more(IN_GREAT_NEED, SECS, 0.6)]
-#[case::all(ALL_IN_NEED, SECS, 0.9)]
-#[case::all_more(ALL_IN_GREAT_NEED, 2 * SECS, 0.9)]
-fn upstreams_that_name_a_limit_get_it_and_no_more(
+#[case::two(LIMITED, SECS, 0.6)]
+#[case::two_low(LOW_LIMIT, SECS, 0.6)]
+#[case::all(ALL_LIMITED, SECS, 0.9)]
+#[case::all_low(ALL_LOW_LIMIT, 2 * SECS, 0.9)]
+fn announced_limits_are_used_and_respected(
     #[case] plan: Plan,
     #[case] secs: u64,
     #[case] least: f64,
 ) {
     for seed in 1..=SEEDS {
-        let r = play(Plan { seed, ..plan }, secs);
-        let allowed = plan.need.rate.mul_add(1.5 * 4.0, 5.0) as usize;
-        println!("{:?} {} of {allowed}, used {:.2}", plan.need, r.most_sent, r.limit_used);
-        assert!(r.most_sent <= allowed, "{} in four seconds, {allowed} allowed", r.most_sent);
-        assert!(r.limit_used >= least, "{} of what the limits allow", r.limit_used);
+        let r = simulate(Plan { seed, ..plan }, secs);
+        let allowed = plan.limits.rate.mul_add(1.5 * 4.0, 5.0) as usize;
+        println!("{:?} {} of {allowed}, used {:.2}", plan.limits, r.most_sent, r.limit_used);
+        assert!(
+            r.most_sent <= allowed,
+            "{} requests in four seconds exceed the allowed {allowed}",
+            r.most_sent
+        );
+        assert!(r.limit_used >= least, "only {} of the allowed requests were sent", r.limit_used);
     }
 }
 
 #[test]
-fn upstreams_in_need_cost_the_others_callers_next_to_nothing() {
-    let plan = Plan { need: Need::default(), ..IN_NEED };
-    let (calm, need) = (means(plan), means(IN_NEED));
-    assert!(need.lost <= calm.lost + 0.01, "{} and {}", need.lost, calm.lost);
+fn limited_upstreams_cost_few_other_requests() {
+    let plan = Plan { limits: RateLimits::default(), ..LIMITED };
+    let (baseline, limited) = (means(plan), means(LIMITED));
+    assert!(
+        limited.lost_share <= baseline.lost_share + 0.01,
+        "lost {} with limits and {} without",
+        limited.lost_share,
+        baseline.lost_share
+    );
 }
 
 /// Guards against starving recovered upstreams of downloads while many requests are lost.
@@ -209,8 +230,12 @@
 #[case::every_18_s(13.0, 1)]
 #[case::every_12_s(7.0, 3)]
 fn downloads_that_hang_leave_the_floor(#[case] gap_s: f64, #[case] seed: u64) {
-    let r = play(Plan { gap_s, seed, ..DOWNLOADS }, SECS + 10);
-    assert!(r.floor_in_trouble >= 0.7, "{} of those that were well had work", r.floor_in_trouble);
+    let r = simulate(Plan { gap_s, seed, ..DOWNLOADS }, SECS + 10);
+    assert!(
+        r.degraded_floor >= 0.7,
+        "{} of the healthy upstreams received requests",
+        r.degraded_floor
+    );
 }
 
 /// Returns the requests per second that all upstreams of a plan can process.
@@ -221,28 +246,28 @@
 
 /// Prints the served requests where rejections request a backoff, by load and duration.
 #[test]
-#[ignore = "prints figures, and plays for minutes"]
+#[ignore = "prints measurements and takes minutes"]
 fn figures_of_backoffs() {
-    const MANY: u64 = 3;
-    for (name, base) in [("hall of 58", CALM), ("hall of 12", SMALL)] {
+    const RUNS: u64 = 3;
+    for (label, base) in [("58 boxes", BASELINE), ("12 boxes", SMALL)] {
         for load in [0.9, 1.0, 1.5, 2.0, 4.0] {
             for backoff_ms in [0, 200, 1_000, 3_000, 10_000] {
                 let rate = capacity(&base) * load;
                 let plan = Plan { orders: rate * 0.5, reads: rate * 0.5, backoff_ms, ..base };
                 let reports: Vec<Report> =
-                    (1..=MANY).map(|seed| play(Plan { seed, ..plan }, SECS)).collect();
-                let mean = |f: fn(&Report) -> f64| reports.iter().map(f).sum::<f64>() / MANY as f64;
+                    (1..=RUNS).map(|seed| simulate(Plan { seed, ..plan }, SECS)).collect();
+                let mean = |f: fn(&Report) -> f64| reports.iter().map(f).sum::<f64>() / RUNS as f64;
                 let served = mean(|r| {
-                    (r.orders.in_aim + r.reads.in_aim + r.orders.late + r.reads.late) as f64
+                    (r.orders.on_target + r.reads.on_target + r.orders.late + r.reads.late) as f64
                 });
-                let in_aim = mean(|r| (r.orders.in_aim + r.reads.in_aim) as f64);
-                let owed = capacity(&base).min(rate) * (SECS - 8) as f64;
+                let on_target = mean(|r| (r.orders.on_target + r.reads.on_target) as f64);
+                let attainable = capacity(&base).min(rate) * (SECS - 8) as f64;
                 let rejected = mean(|r| r.rejected as f64) / (rate * SECS as f64);
                 let most = reports.iter().map(|r| r.most_in_backoff).max().unwrap_or(0);
                 println!(
-                    "{name} x{load} backoff {backoff_ms}: served {:.3} in aim {:.3} of what could be, rejected {rejected:.3}, most in one {most}",
-                    served / owed,
-                    in_aim / owed
+                    "{label} x{load} backoff {backoff_ms}: served {:.3} on target {:.3} of the attainable, rejected {rejected:.3}, most in one backoff {most}",
+                    served / attainable,
+                    on_target / attainable
                 );
             }
         }
@@ -251,31 +276,39 @@
 
 /// Prints the lost requests of each load over twelve seeds, to compare policies.
 #[test]
-#[ignore = "prints figures, and plays for half a minute"]
+#[ignore = "prints measurements and takes half a minute"]
 fn figures_of_the_loads() {
-    const MANY: u64 = 12;
-    let hanging_prone = Plan { gap_s: 13.0, ..HANGING };
-    let loads = [CALM, PRONE, ILL, BUSY, SMALL, HANGING, hanging_prone];
-    let names = ["calm", "prone", "ill", "busy", "small", "hanging", "hanging and prone"];
-    for (name, plan) in names.into_iter().zip(loads) {
+    const RUNS: u64 = 12;
+    let hanging_frequent = Plan { gap_s: 13.0, ..HANGING };
+    let loads = [BASELINE, FREQUENT_FAULTS, MANY_FAULTS, BUSY, SMALL, HANGING, hanging_frequent];
+    let names = [
+        "baseline",
+        "frequent faults",
+        "many faults",
+        "busy",
+        "small",
+        "hanging",
+        "hanging, frequent faults",
+    ];
+    for (label, plan) in names.into_iter().zip(loads) {
         let reports: Vec<Report> =
-            (1..=MANY).map(|seed| play(Plan { seed, ..plan }, SECS)).collect();
-        let mean = |f: fn(&Report) -> f64| reports.iter().map(f).sum::<f64>() / MANY as f64;
-        let lost = mean(|r| r.orders.lost());
-        let in_aim = mean(|r| r.orders.in_aim());
+            (1..=RUNS).map(|seed| simulate(Plan { seed, ..plan }, SECS)).collect();
+        let mean = |f: fn(&Report) -> f64| reports.iter().map(f).sum::<f64>() / RUNS as f64;
+        let lost_share = mean(|r| r.orders.lost_share());
+        let on_target = mean(|r| r.orders.on_target());
         let floor = reports.iter().map(|r| r.floor).fold(1.0, f64::min);
-        println!("{name}: lost {lost:.4}, in aim {in_aim:.4}, floor {floor:.2}");
+        println!("{label}: lost {lost_share:.4}, on target {on_target:.4}, floor {floor:.2}");
     }
 }
 
 /// Prints the minimum floor of hanging downloads while many requests are lost.
 #[test]
-#[ignore = "prints figures"]
+#[ignore = "prints measurements"]
 fn figures_of_downloads() {
     for gap_s in [13.0, 7.0] {
         let floors: Vec<String> = (1..=12)
-            .map(|seed| play(Plan { gap_s, seed, ..DOWNLOADS }, SECS + 10))
-            .map(|r| format!("{:.2}/{:.3}", r.floor_in_trouble, r.reads.lost()))
+            .map(|seed| simulate(Plan { gap_s, seed, ..DOWNLOADS }, SECS + 10))
+            .map(|r| format!("{:.2}/{:.3}", r.degraded_floor, r.reads.lost_share()))
             .collect();
         println!("gap {gap_s}: {}", floors.join(" "));
     }
--- a/crates/honeypulley_policy/tests/load/plan.rs
+++ b/crates/honeypulley_policy/tests/load/plan.rs
@@ -4,16 +4,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
     /// The policy under test.
-    Ours,
+    Tested,
     /// The less busy of two upstreams drawn at random, without regard to failures.
     Naive,
     /// The least busy upstream without a fault at the time.
     Oracle,
 }
 
-/// Period in ms during which all upstreams reject a share of the requests at once.
+/// Period in ms during which all upstreams reject a share of the requests.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Sheds {
+pub struct Shedding {
     pub from: u64,
     pub to: u64,
     pub share: f64,
@@ -21,14 +21,14 @@
 
 /// Numbers of boxes, and of upstreams to which these boxes cannot connect.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Cut {
+pub struct Partition {
     pub boxes: usize,
     pub upstreams: usize,
 }
 
 /// Upstreams that announce a rate limit in their responses.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Need {
+pub struct RateLimits {
     pub upstreams: usize,
     /// Limit of each upstream for requests from all boxes, per second.
     pub rate: f64,
@@ -36,7 +36,7 @@
     pub from: u64,
 }
 
-impl Need {
+impl RateLimits {
     /// Returns the rate limit in a response of an upstream, if there is one.
     pub fn limit(&self, upstream: usize, now: u64) -> Option<f64> {
         (upstream < self.upstreams && now >= self.from).then_some(self.rate)
@@ -56,19 +56,19 @@
     /// Mean processing time, in ms.
     pub work_ms: f64,
     /// Share of requests that fail after processing on any upstream.
-    pub base: f64,
-    /// Mean time from the end of a fault to the next one of the same upstream, in seconds.
+    pub base_rate: f64,
+    /// Mean time from the end of a fault to the next one, in seconds.
     pub gap_s: f64,
     /// Mean duration of a fault, in seconds.
-    pub spell_s: f64,
+    pub fault_s: f64,
     /// Share of requests that fail during a fault.
-    pub fails: f64,
-    /// Time after which these requests fail, in ms; zero for at once, else they hang.
-    pub fails_ms: u64,
-    pub sheds: Sheds,
+    pub fault_rate: f64,
+    /// Time after which these requests fail, in ms; zero for immediate failures.
+    pub fails_after_ms: u64,
+    pub shedding: Shedding,
     /// Backoff requested by each rejection, in ms, or zero for none.
     pub backoff_ms: u64,
-    pub cut: Cut,
-    pub need: Need,
+    pub partition: Partition,
+    pub limits: RateLimits,
     pub seed: u64,
 }
--- a/crates/honeypulley_policy/tests/load/worker.rs
+++ b/crates/honeypulley_policy/tests/load/worker.rs
@@ -5,7 +5,7 @@
 #[derive(Debug, Default)]
 pub struct Worker {
     /// Start and end of each fault.
-    pub spells: Vec<(u64, u64)>,
+    pub faults: Vec<(u64, u64)>,
     /// End of each request.
     pub ends: Vec<u64>,
     pub sent: Vec<u64>,
@@ -30,15 +30,15 @@
 
 impl Worker {
     pub fn new(plan: &Plan, until: u64, rng: &mut fastrand::Rng) -> Self {
-        let mut spells = Vec::new();
+        let mut faults = Vec::new();
         let gap = |rng: &mut fastrand::Rng| (-(1.0 - rng.f64()).ln() * plan.gap_s * 1e3) as u64;
         let mut at = gap(rng);
         while at < until {
-            let ends = at + (plan.spell_s * (0.4 + 1.2 * rng.f64()) * 1e3) as u64;
-            spells.push((at, ends));
+            let ends = at + (plan.fault_s * (0.4 + 1.2 * rng.f64()) * 1e3) as u64;
+            faults.push((at, ends));
             at = ends + gap(rng);
         }
-        Self { spells, ..Self::default() }
+        Self { faults, ..Self::default() }
     }
 
     /// Rejects a request from a box.
@@ -63,13 +63,13 @@
         self.ends.iter().filter(|&&e| e > now).count()
     }
 
-    pub fn is_ill(&self, now: u64) -> bool {
-        self.spells.iter().any(|&(from, to)| (from..to).contains(&now))
+    pub fn is_faulty(&self, now: u64) -> bool {
+        self.faults.iter().any(|&(from, to)| (from..to).contains(&now))
     }
 
-    /// Returns whether there is no fault from two seconds before a window to its end.
-    pub fn is_sound(&self, from: u64, to: u64) -> bool {
-        self.spells.iter().all(|&(a, b)| b + 2_000 <= from || a >= to)
+    /// Returns whether there was no fault in a window and the two seconds before it.
+    pub fn was_healthy(&self, from: u64, to: u64) -> bool {
+        self.faults.iter().all(|&(a, b)| b + 2_000 <= from || a >= to)
     }
 
     /// Returns the time at which a slot becomes free.
--- a/crates/honeypulley_policy/tests/permits.rs
+++ b/crates/honeypulley_policy/tests/permits.rs
@@ -1,4 +1,4 @@
-//! Tests that the floor holds with stale views, paused boxes and any order of changes.
+//! Tests the floor with stale views, paused boxes and any order of changes.
 
 use honeypulley_policy::permits::{FloorContext, Hold, LEASE, MARGIN, PermitError, PermitRecord};
 use proptest::prelude::*;
@@ -19,7 +19,7 @@
     /// The platform confirms the latest record to a box.
     Confirm(usize),
     /// Time passes, during which boxes without a confirmation are paused or disconnected.
-    Pass(u64),
+    Advance(u64),
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
@@ -30,7 +30,7 @@
         2 => up.clone().prop_map(Step::Release),
         3 => up.prop_map(Step::Retire),
         3 => (0..BOXES).prop_map(Step::Confirm),
-        3 => (500u64..6_000).prop_map(Step::Pass),
+        3 => (500u64..6_000).prop_map(Step::Advance),
     ];
     prop::collection::vec(step, 1..120)
 }
@@ -64,7 +64,7 @@
                 views[b] = View { record: record.clone(), confirmed: Some(now) };
                 continue;
             }
-            Step::Pass(ms) => {
+            Step::Advance(ms) => {
                 now += ms;
                 continue;
             }
@@ -103,12 +103,12 @@
         return Err(PermitError::State);
     }
     // Without a wait, the writer claims a waiting time that has not passed.
-    let claimed = Duration::from_millis(now - first).max(if wait == 0 {
+    let claimed_wait = Duration::from_millis(now - first).max(if wait == 0 {
         LEASE + MARGIN
     } else {
         Duration::ZERO
     });
-    record.retire(up, serial, claimed)
+    record.retire(up, serial, claimed_wait)
 }
 
 proptest! {
@@ -135,37 +135,50 @@
         Step::Eject(3),
         Step::Confirm(1),
     ];
-    assert!(largest_union(&steps, 0) > UPSTREAMS - FLOOR, "the naive writer should break it");
+    assert!(
+        largest_union(&steps, 0) > UPSTREAMS - FLOOR,
+        "freeing slots at once must break the floor"
+    );
     assert!(largest_union(&steps, 1) <= UPSTREAMS - FLOOR);
 }
 
 #[test]
 fn a_later_release_is_not_taken_for_the_one_that_was_seen() {
     let ctx = FloorContext { live: 6, floor: 4 };
-    let first =
-        PermitRecord::default().eject("u0", ctx).and_then(|r| r.release("u0")).expect("allowed");
+    let first = PermitRecord::default()
+        .eject("u0", ctx)
+        .and_then(|r| r.release("u0"))
+        .expect("change is allowed");
     let serial = first.entries["u0"].serial;
-    let again = first.eject("u0", ctx).and_then(|r| r.release("u0")).expect("allowed");
+    let again = first.eject("u0", ctx).and_then(|r| r.release("u0")).expect("change is allowed");
     let seen = LEASE + MARGIN;
     assert_eq!(again.retire("u0", serial, seen), Err(PermitError::State));
     assert!(again.retire("u0", again.entries["u0"].serial, seen).is_ok());
 }
 
 #[test]
-fn a_slot_is_freed_only_after_every_older_view_has_lapsed() {
+fn a_slot_is_freed_only_after_all_older_views_have_expired() {
     let ctx = FloorContext { live: 6, floor: 4 };
-    let r =
-        PermitRecord::default().eject("u0", ctx).and_then(|r| r.release("u0")).expect("allowed");
+    let r = PermitRecord::default()
+        .eject("u0", ctx)
+        .and_then(|r| r.release("u0"))
+        .expect("change is allowed");
     let serial = r.entries["u0"].serial;
     let early = r.retire("u0", serial, LEASE);
     assert_eq!(early, Err(PermitError::Cooling(MARGIN)));
-    assert!(r.retire("u0", serial, LEASE + MARGIN).expect("late enough").entries.is_empty());
+    assert!(
+        r.retire("u0", serial, LEASE + MARGIN)
+            .expect("older views have expired")
+            .entries
+            .is_empty()
+    );
 }
 
 #[test]
-fn upstreams_that_leave_count_against_the_floor() {
-    let r =
-        PermitRecord::default().eject("u0", FloorContext { live: 6, floor: 4 }).expect("allowed");
+fn leaving_upstreams_count_against_the_floor() {
+    let r = PermitRecord::default()
+        .eject("u0", FloorContext { live: 6, floor: 4 })
+        .expect("change is allowed");
     // Another upstream has left: five are live, one of which is ejected.
     let refused = r.eject("u1", FloorContext { live: 5, floor: 4 });
     assert_eq!(refused, Err(PermitError::Floor { live: 5, held: 1, floor: 4 }));
--- a/crates/honeypulley_policy/tests/router.rs
+++ b/crates/honeypulley_policy/tests/router.rs
@@ -13,7 +13,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-const N: usize = 5;
+const UPSTREAMS: usize = 5;
 
 fn member(i: usize) -> Member {
     let name = format!("u{i}");
@@ -40,15 +40,17 @@
 fn router(repeat: Repeat) -> (Router, ServiceKey) {
     let mut r = Router::new("b", "h", 7);
     r.set_services([spec(repeat)]);
-    let all: Vec<Member> = (0..N).map(member).collect();
+    let all: Vec<Member> = (0..UPSTREAMS).map(member).collect();
     r.set_members(&all, 2, Time::ZERO);
-    let k = r.service("s").expect("set");
+    let k = r.service("s").expect("service is configured");
     (r, k)
 }
 
 fn view(ups: &[&str], confirmed: Time) -> PermitView {
-    let ctx = FloorContext { live: N, floor: 3 };
-    let record = ups.iter().fold(PermitRecord::default(), |r, u| r.eject(u, ctx).expect("allowed"));
+    let ctx = FloorContext { live: UPSTREAMS, floor: 3 };
+    let record = ups
+        .iter()
+        .fold(PermitRecord::default(), |r, u| r.eject(u, ctx).expect("ejection is allowed"));
     PermitView { records: [("s".to_owned(), record)].into(), confirmed: Some(confirmed) }
 }
 
@@ -64,7 +66,7 @@
 }
 
 /// Opens and closes `n` attempts and returns the number of picks per upstream.
-fn spread(
+fn pick_counts(
     r: &mut Router,
     k: ServiceKey,
     n: usize,
@@ -73,8 +75,10 @@
 ) -> BTreeMap<String, usize> {
     let mut counts = BTreeMap::new();
     for _ in 0..n {
-        let p = r.pick(k, repeatable, &[], at).expect("there are upstreams");
-        *counts.entry(r.upstream(p.upstream).expect("known").0.to_owned()).or_default() += 1;
+        let p = r.pick(k, repeatable, &[], at).expect("upstream is available");
+        *counts
+            .entry(r.upstream(p.upstream).expect("upstream is known").0.to_owned())
+            .or_default() += 1;
         r.finish(p.attempt, Outcome::Abandoned, at);
     }
     counts
@@ -85,26 +89,24 @@
     let (mut r, k) = router(Repeat::Always);
     r.set_permits(&view(&["u0"], Time::from_millis(1_000)));
     let within = Time::from_millis(1_000) + (LEASE - Duration::from_millis(1));
-    assert!(!spread(&mut r, k, 500, true, within).contains_key("u0"));
+    assert!(!pick_counts(&mut r, k, 500, true, within).contains_key("u0"));
     // After the lease has expired, as after a pause, the upstream is only a last resort.
-    let lapsed = Time::from_millis(1_000) + LEASE;
-    let picks: Vec<Pick> = std::iter::from_fn(|| r.pick(k, true, &[], lapsed).ok()).collect();
+    let expired = Time::from_millis(1_000) + LEASE;
+    let picks: Vec<Pick> = std::iter::from_fn(|| r.pick(k, true, &[], expired).ok()).collect();
     let last = picks.iter().filter(|p| p.reason == Reason::LastResort).count();
-    assert!(last > 0, "the lapsed one is still capacity");
-    assert!(
-        picks.iter().all(|p| (p.reason == Reason::LastResort)
-            == (r.upstream(p.upstream).expect("known").0 == "u0"))
-    );
+    assert!(last > 0, "an upstream with an expired permit remains a last resort");
+    assert!(picks.iter().all(|p| (p.reason == Reason::LastResort)
+        == (r.upstream(p.upstream).expect("upstream is known").0 == "u0")));
 }
 
 #[test]
 fn no_more_are_set_aside_than_the_floor_spares_even_if_all_look_sick() {
     let (mut r, k) = router(Repeat::Always);
-    for i in 0..N {
+    for i in 0..UPSTREAMS {
         r.set_verdict(&suspect(&format!("u{i}"), 4_000), Time::ZERO);
     }
-    let used = spread(&mut r, k, 500, true, Time::from_millis(1));
-    assert_eq!(used.len(), 3, "three of five keep their work: {used:?}");
+    let used = pick_counts(&mut r, k, 500, true, Time::from_millis(1));
+    assert_eq!(used.len(), 3, "the floor keeps three of five in use: {used:?}");
 }
 
 #[test]
@@ -112,12 +114,12 @@
     let (mut r, k) = router(Repeat::Always);
     r.set_permits(&view(&["u0", "u1"], Time::ZERO));
     let now = Time::from_millis(10);
-    assert_eq!(spread(&mut r, k, 300, true, now).len(), 3);
-    let mut list: Vec<Member> = (0..N).map(member).collect();
+    assert_eq!(pick_counts(&mut r, k, 300, true, now).len(), 3);
+    let mut list: Vec<Member> = (0..UPSTREAMS).map(member).collect();
     list[4].state = MemberState::Leaving;
     r.set_members(&list, 2, now);
     // With four live upstreams and a floor of three, one of the two must receive requests again.
-    let used = spread(&mut r, k, 300, true, now);
+    let used = pick_counts(&mut r, k, 300, true, now);
     assert_eq!(used.len(), 3, "{used:?}");
     assert!(!used.contains_key("u4"));
 }
@@ -125,28 +127,28 @@
 #[test]
 fn a_drain_mark_ends_new_work_at_once() {
     let (mut r, k) = router(Repeat::Always);
-    let p = r.pick(k, true, &[], Time::ZERO).expect("there are upstreams");
-    let name = r.upstream(p.upstream).expect("known").0.to_owned();
+    let p = r.pick(k, true, &[], Time::ZERO).expect("upstream is available");
+    let name = r.upstream(p.upstream).expect("upstream is known").0.to_owned();
     r.drained(p.upstream, Time::ZERO);
-    assert!(!spread(&mut r, k, 300, true, Time::ZERO).contains_key(&name));
+    assert!(!pick_counts(&mut r, k, 300, true, Time::ZERO).contains_key(&name));
 }
 
 #[test]
-fn a_stall_is_seen_before_any_timeout() {
+fn a_stall_is_reported_before_any_timeout() {
     let (mut r, k) = router(Repeat::Always);
     let mut now = Time::ZERO;
     for _ in 0..200 {
-        let p = r.pick(k, true, &[], now).expect("there are upstreams");
+        let p = r.pick(k, true, &[], now).expect("upstream is available");
         now = now + Duration::from_millis(10);
         r.answered(p.attempt, true, now);
         r.finish(p.attempt, Outcome::Whole, now);
     }
-    let p = r.pick(k, true, &[], now).expect("there are upstreams");
+    let p = r.pick(k, true, &[], now).expect("upstream is available");
     assert!(r.stall_limit(k) < Duration::from_millis(200), "{:?}", r.stall_limit(k));
     now = now + Duration::from_millis(250);
-    let stalled = NameId::of(r.upstream(p.upstream).expect("known").0);
+    let stalled = NameId::of(r.upstream(p.upstream).expect("upstream is known").0);
     let reports = r.tick(now);
-    let item = reports[0].items.iter().find(|i| i.upstream == stalled).expect("reported");
+    let item = reports[0].items.iter().find(|i| i.upstream == stalled).expect("stall is reported");
     assert_eq!(item.bad, 10);
     // The later end of the same attempt adds no further evidence.
     r.finish(p.attempt, Outcome::Late, now + Duration::from_secs(2));
@@ -155,81 +157,84 @@
 }
 
 #[test]
-fn a_box_that_is_convinced_says_how_sure_it_is() {
+fn a_box_that_ejects_reports_additional_weight() {
     let (mut r, k) = router(Repeat::Always);
     let mut now = Time::ZERO;
     let (mut bad, mut failed) = (0, 0);
     for _ in 0..400 {
         now = now + Duration::from_millis(10);
-        let p = r.pick(k, true, &[], now).expect("there are upstreams");
-        let sick = r.upstream(p.upstream).expect("known").0 == "u0";
-        failed += u32::from(sick);
-        r.answered(p.attempt, !sick, now);
+        let p = r.pick(k, true, &[], now).expect("upstream is available");
+        let fails = r.upstream(p.upstream).expect("upstream is known").0 == "u0";
+        failed += u32::from(fails);
+        r.answered(p.attempt, !fails, now);
         r.finish(p.attempt, Outcome::Whole, now);
         let reports = r.tick(now);
         bad += reports.iter().flat_map(|r| &r.items).map(|i| u32::from(i.bad)).sum::<u32>();
     }
-    assert!((3..12).contains(&failed), "it avoids the failing one: {failed}");
+    assert!((3..12).contains(&failed), "failing upstream must be avoided: {failed} failures");
     assert!(bad >= failed * 10 + 20, "{bad} tenths for {failed} failures");
 }
 
 #[test]
-fn canaries_are_repeatable_requests_where_there_are_any() {
+fn canary_requests_are_repeatable() {
     let (mut r, k) = router(Repeat::Reads);
     let probation = Verdict { judgement: Judgement::Probation, ..suspect("u0", 60_000) };
     r.set_verdict(&probation, Time::ZERO);
     let now = Time::from_millis(1);
-    assert!(!spread(&mut r, k, 1_000, false, now).contains_key("u0"));
-    let tried = spread(&mut r, k, 1_000, true, now)["u0"];
-    assert!((20..100).contains(&tried), "about one in twenty, not {tried}");
+    assert!(!pick_counts(&mut r, k, 1_000, false, now).contains_key("u0"));
+    let tried = pick_counts(&mut r, k, 1_000, true, now)["u0"];
+    assert!(
+        (20..100).contains(&tried),
+        "expected about one in twenty, but {tried} of 1000 were canary requests"
+    );
 }
 
 #[test]
-fn full_upstreams_are_refused_at_once_with_a_time_to_come_back() {
+fn a_full_service_refuses_with_a_retry_time() {
     let (mut r, k) = router(Repeat::Always);
     // Two boxes share twenty connections to each upstream, so each box may open ten.
     let open: Vec<AttemptKey> =
         std::iter::from_fn(|| r.pick(k, true, &[], Time::ZERO).ok()).map(|p| p.attempt).collect();
-    assert_eq!(open.len(), N * 10);
-    let refusal = r.pick(k, true, &[], Time::ZERO).expect_err("full");
+    assert_eq!(open.len(), UPSTREAMS * 10);
+    let refusal = r.pick(k, true, &[], Time::ZERO).expect_err("all connections are in use");
     assert_eq!(refusal.kind, RefusalKind::Full);
     assert!(refusal.retry_after > Duration::ZERO);
 }
 
 #[test]
-fn a_rate_is_shared_by_the_boxes_and_says_when() {
+fn a_rate_limit_is_divided_among_the_boxes() {
     let mut r = Router::new("b", "h", 7);
     r.set_members(&[], 4, Time::ZERO);
     r.set_services([ServiceSpec { rate: Some(40.0), ..spec(Repeat::Always) }]);
-    let k = r.service("s").expect("set");
+    let k = r.service("s").expect("service is configured");
     let admitted = (0..1_000).filter(|i| r.admit(k, Time::from_millis(i * 10)).is_ok()).count();
     // Ten requests per second for ten seconds, plus the burst.
     assert!((100..=111).contains(&admitted), "{admitted}");
-    let refusal = r.admit(k, Time::from_millis(9_990)).expect_err("used up");
+    let refusal = r.admit(k, Time::from_millis(9_990)).expect_err("rate limit is exhausted");
     assert!(refusal.retry_after <= Duration::from_millis(150));
 }
 
 #[rstest::rstest]
 #[case::always_idle(0.0, 250..480)]
 #[case::always_full(9.0, 20..200)]
-fn a_lying_load_report_moves_a_bounded_share(
-    #[case] lie: f64,
+fn a_false_load_report_has_a_bounded_effect(
+    #[case] false_load: f64,
     #[case] share: std::ops::Range<usize>,
 ) {
     let (mut r, k) = router(Repeat::Always);
-    let (mut now, mut liars) = (Time::ZERO, 0);
+    let (mut now, mut picked) = (Time::ZERO, 0);
     for _ in 0..1_000 {
         now = now + Duration::from_millis(20);
-        let p = r.pick(k, true, &[], now).expect("there are upstreams");
-        let lies = r.upstream(p.upstream).expect("known").0 == "u0";
-        liars += usize::from(lies);
+        let p = r.pick(k, true, &[], now).expect("upstream is available");
+        let is_false = r.upstream(p.upstream).expect("upstream is known").0 == "u0";
+        picked += usize::from(is_false);
         r.answered(p.attempt, true, now + Duration::from_millis(15));
         r.finish(p.attempt, Outcome::Whole, now + Duration::from_millis(15));
         // All other upstreams correctly report two of three busy slots.
-        r.reported_load(p.upstream, if lies { lie } else { 0.667 }, now);
+        r.reported_load(p.upstream, if is_false { false_load } else { 0.667 }, now);
     }
     // A fair share is 200; a fresh false report wins or loses every comparison.
-    assert!(share.contains(&liars), "{liars} of 1000");
+    assert!(share.contains(&picked), "{picked} of 1000");
 }
 
 /// Sends `n` requests that take `ms` each and returns the number of refused ones.
@@ -239,11 +244,11 @@
         *now = *now + Duration::from_millis(20);
         if let Err(e) = r.admit(k, *now) {
             assert_eq!(e.kind, RefusalKind::Overload);
-            assert!(e.retry_after >= Duration::from_secs(2), "the deadline at least");
+            assert!(e.retry_after >= Duration::from_secs(2), "retry time is at least the deadline");
             refused += 1;
             continue;
         }
-        let p = r.pick(k, true, &[], *now).expect("there are upstreams");
+        let p = r.pick(k, true, &[], *now).expect("upstream is available");
         let end = *now + Duration::from_millis(ms);
         r.answered(p.attempt, true, end);
         r.finish(p.attempt, Outcome::Whole, end);
@@ -252,7 +257,7 @@
 }
 
 #[test]
-fn an_overloaded_service_refuses_a_share_at_once_and_recovers() {
+fn an_overloaded_service_sheds_requests_and_recovers() {
     let (mut r, k) = router(Repeat::Always);
     let mut now = Time::ZERO;
     assert_eq!(serve(&mut r, k, &mut now, 500, 50), 0, "healthy load is admitted");
@@ -261,32 +266,32 @@
     let refused = serve(&mut r, k, &mut now, 400, 1_000);
     assert!((130..250).contains(&refused), "{refused} of 400");
     serve(&mut r, k, &mut now, 100, 50);
-    assert_eq!(serve(&mut r, k, &mut now, 200, 50), 0, "it is over");
+    assert_eq!(serve(&mut r, k, &mut now, 200, 50), 0, "no requests are shed after recovery");
 }
 
 #[test]
-fn a_restarted_upstream_at_a_new_address_starts_afresh() {
+fn a_restart_at_a_new_address_clears_the_state() {
     let (mut r, k) = router(Repeat::Always);
     r.set_verdict(&suspect("u0", 60_000), Time::ZERO);
-    let mut list: Vec<Member> = (0..N).map(member).collect();
+    let mut list: Vec<Member> = (0..UPSTREAMS).map(member).collect();
     list[0].addr = "10.0.0.99:80".into();
     r.set_members(&list, 2, Time::ZERO);
-    assert!(spread(&mut r, k, 500, true, Time::from_millis(1)).contains_key("u0"));
+    assert!(pick_counts(&mut r, k, 500, true, Time::from_millis(1)).contains_key("u0"));
 }
 
 #[test]
-fn one_that_restarts_in_its_place_gets_work_again() {
+fn a_restart_at_the_same_address_ends_draining() {
     let (mut r, k) = router(Repeat::Always);
-    let p = r.pick(k, true, &[], Time::ZERO).expect("there are upstreams");
-    let name = r.upstream(p.upstream).expect("known").0.to_owned();
+    let p = r.pick(k, true, &[], Time::ZERO).expect("upstream is available");
+    let name = r.upstream(p.upstream).expect("upstream is known").0.to_owned();
     r.drained(p.upstream, Time::ZERO);
     r.finish(p.attempt, Outcome::Whole, Time::ZERO);
-    let mut list: Vec<Member> = (0..N).map(member).collect();
-    let i = list.iter().position(|m| m.name == name).expect("listed");
+    let mut list: Vec<Member> = (0..UPSTREAMS).map(member).collect();
+    let i = list.iter().position(|m| m.name == name).expect("upstream is listed");
     for (at, state) in [(1_000, MemberState::Leaving), (2_000, MemberState::Live)] {
         list[i].state = state;
         r.set_members(&list, 2, Time::from_millis(at));
-        let used = spread(&mut r, k, 500, true, Time::from_millis(at + 12_000));
+        let used = pick_counts(&mut r, k, 500, true, Time::from_millis(at + 12_000));
         assert_eq!(used.contains_key(&name), state == MemberState::Live);
     }
 }
@@ -299,17 +304,17 @@
     Suspect(usize),
     Permit(usize, bool),
     Drain,
-    Pass(u64),
+    Advance(u64),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         6 => any::<bool>().prop_map(Step::Pick),
         5 => (0usize..50, 0u8..5).prop_map(|(i, o)| Step::Finish(i, o)),
-        1 => (0..N).prop_map(Step::Suspect),
-        1 => (0..N, any::<bool>()).prop_map(|(i, valid)| Step::Permit(i, valid)),
+        1 => (0..UPSTREAMS).prop_map(Step::Suspect),
+        1 => (0..UPSTREAMS, any::<bool>()).prop_map(|(i, valid)| Step::Permit(i, valid)),
         1 => Just(Step::Drain),
-        3 => (1u64..3_000).prop_map(Step::Pass),
+        3 => (1u64..3_000).prop_map(Step::Advance),
     ]
 }
 
@@ -329,20 +334,20 @@
                     let before: BTreeMap<&String, usize> = open.iter().fold(BTreeMap::new(), |mut m, (_, _, u)| { *m.entry(u).or_default() += 1; m });
                     match r.pick(k, repeatable, &[], now) {
                         Ok(p) => {
-                            let name = r.upstream(p.upstream).expect("known").0.to_owned();
-                            prop_assert!(!drained.contains(&name), "work for one that is leaving");
-                            prop_assert!(before.get(&name).copied().unwrap_or(0) < 10, "over the share of connections");
+                            let name = r.upstream(p.upstream).expect("upstream is known").0.to_owned();
+                            prop_assert!(!drained.contains(&name), "sent to a draining upstream");
+                            prop_assert!(before.get(&name).copied().unwrap_or(0) < 10, "exceeds the connection limit");
                             if let Some((u, at)) = &ejected {
-                                prop_assert!(*u != name || now.since(*at) >= LEASE, "work for an ejected one");
+                                prop_assert!(*u != name || now.since(*at) >= LEASE, "sent to an ejected upstream");
                             }
                             open.push((p.attempt, p.upstream, name));
                         }
                         Err(e) => {
                             prop_assert_eq!(e.kind, RefusalKind::Full);
-                            let room = |u: &String| before.get(u).copied().unwrap_or(0) < 10;
-                            let free = (0..N).map(|i| format!("u{i}")).filter(|u| room(u) && !drained.contains(u));
+                            let has_room = |u: &String| before.get(u).copied().unwrap_or(0) < 10;
+                            let free = (0..UPSTREAMS).map(|i| format!("u{i}")).filter(|u| has_room(u) && !drained.contains(u));
                             let held = |u: &String| ejected.as_ref().is_some_and(|(e, at)| e == u && now.since(*at) < LEASE);
-                            prop_assert_eq!(free.filter(|u| !held(u)).count(), 0, "refused with room left");
+                            prop_assert_eq!(free.filter(|u| !held(u)).count(), 0, "refused although connections are available");
                         }
                     }
                 }
@@ -368,7 +373,7 @@
                         drained.push(name.clone());
                     }
                 }
-                Step::Pass(ms) => {
+                Step::Advance(ms) => {
                     now = now + Duration::from_millis(ms);
                     let _ = r.tick(now);
                 }
@@ -379,22 +384,22 @@
 
 /// Guards against requests within the backoff that an upstream requested with a rejection.
 #[test]
-fn a_router_sends_nothing_during_a_backoff() {
+fn no_request_is_sent_during_a_backoff() {
     let (mut r, s) = router(Repeat::Always);
     r.set_members(&[member(0), member(1)], 1, Time::ZERO);
     let backoff = Some(Duration::from_secs(3));
-    let p = r.pick(s, true, &[], Time::ZERO).expect("there are two");
+    let p = r.pick(s, true, &[], Time::ZERO).expect("two upstreams are available");
     let changes = r.signalled(p.attempt, &Signals { backoff, ..Signals::default() }, Time::ZERO);
     r.finish(p.attempt, Outcome::NotRun, Time::ZERO);
     assert!(changes.backoff);
     for ms in (0..3_000).step_by(10) {
-        let q = r.pick(s, true, &[], Time::from_millis(ms)).expect("one is left");
+        let q = r.pick(s, true, &[], Time::from_millis(ms)).expect("one upstream is available");
         assert_ne!(q.upstream, p.upstream, "at {ms} ms");
         r.finish(q.attempt, Outcome::Whole, Time::from_millis(ms));
     }
-    let q = r.pick(s, true, &[], Time::ZERO).expect("one is left");
+    let q = r.pick(s, true, &[], Time::ZERO).expect("one upstream is available");
     let refused = r.pick(s, true, &[q.upstream], Time::from_millis(1_000));
-    let refused = refused.expect_err("the other one backs off");
+    let refused = refused.expect_err("the other upstream requested a backoff");
     assert_eq!(refused.kind, RefusalKind::Backoff);
     assert!(refused.retry_after >= Duration::from_secs(2), "{:?}", refused.retry_after);
     let after = Time::from_millis(3_000);
--- a/crates/honeypulley_policy/tests/routes.rs
+++ b/crates/honeypulley_policy/tests/routes.rs
@@ -34,33 +34,33 @@
 #[case("b.example", "/x/1", None)]
 #[case("b.example", "/1", Some("b"))]
 #[case("a.example", "", None)]
-fn the_longest_prefix_by_whole_segments_wins(
+fn the_longest_prefix_of_whole_segments_matches(
     #[case] host: &str,
     #[case] path: &str,
-    #[case] want: Option<&str>,
+    #[case] expected: Option<&str>,
 ) {
     let t = table(vec![
         route("x", "a.example", "/x/"),
         route("xy", "a.example", "/x/y/"),
         route("b", "b.example", "/"),
     ])
-    .expect("fine");
+    .expect("table is valid");
     let found = t.find(host, path).map(|r| r.name.as_str());
     // The route of `b.example` matches every path of the host.
-    let want = if host == "b.example" { Some("b") } else { want };
-    assert_eq!(found, want);
+    let expected = if host == "b.example" { Some("b") } else { expected };
+    assert_eq!(found, expected);
 }
 
 #[rstest]
 #[case("x/")]
 #[case("/x")]
-fn prefixes_without_their_slashes_are_refused(#[case] prefix: &str) {
-    let refused = table(vec![route("r", "a", prefix)]);
-    assert!(matches!(refused, Err(RouteError::Prefix { .. })));
+fn prefixes_without_slashes_are_rejected(#[case] prefix: &str) {
+    let rejected = table(vec![route("r", "a", prefix)]);
+    assert!(matches!(rejected, Err(RouteError::Prefix { .. })));
 }
 
 #[test]
-fn routes_to_services_that_are_not_there_are_refused() {
+fn routes_to_unknown_services_are_rejected() {
     let mut r = route("r", "a", "/x/");
     r.targets[0].service = "other".to_owned();
     assert!(matches!(table(vec![r]), Err(RouteError::UnknownService { .. })));
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_split_holds_its_weights() {
+fn a_split_follows_its_weights() {
     let mut r = route("r", "a", "/x/");
     r.targets = vec![
         Target { service: "s".to_owned(), weight: 90 },
@@ -84,13 +84,13 @@
 proptest! {
     /// Compares with a linear search over all routes.
     #[test]
-    fn finds_what_a_naive_search_finds(
+    fn find_agrees_with_a_linear_search(
         prefixes in prop::collection::btree_set("(/[ab]{1,2}){0,3}/", 1..8),
         path in "(/[ab]{1,2}){0,5}/?",
     ) {
         let routes: Vec<Route> = prefixes.iter().map(|p| route(p, "h", p)).collect();
-        let t = table(routes).expect("fine");
-        let naive = prefixes.iter().filter(|p| path.starts_with(p.as_str())).max_by_key(|p| p.len());
-        prop_assert_eq!(t.find("h", &path).map(|r| &r.name), naive);
+        let t = table(routes).expect("table is valid");
+        let linear = prefixes.iter().filter(|p| path.starts_with(p.as_str())).max_by_key(|p| p.len());
+        prop_assert_eq!(t.find("h", &path).map(|r| &r.name), linear);
     }
 }
