--- a/crates/honeypulley_policy/src/belief.rs
+++ b/crates/honeypulley_policy/src/belief.rs
@@ -12,11 +12,11 @@
 /// Prior failure rate of requests on an unhealthy upstream.
 pub const FAILS_SICK: f64 = 0.75;
 /// Prior rate at which an upstream becomes unhealthy, per second.
-const ONSET_RATE: f64 = 1.0 / 19.0;
+const ONSET: f64 = 1.0 / 19.0;
 /// Rate at which the path from this box to an upstream fails, per second.
-const PATH_ONSET_RATE: f64 = 1.0 / 600.0;
+const PATH_ONSET: f64 = 1.0 / 600.0;
 /// Prior rate at which a phase of the unhealthy state ends, per second.
-const PHASE_END_RATE: f64 = 1.0 / 2.3;
+const PHASE_END: f64 = 1.0 / 2.3;
 /// Upper bound of the unhealthy probability after a peer reports the upstream healthy.
 const MAX_REPORTED_HEALTHY: f64 = 0.1;
 /// Lower bound of the probability of any state, so that no state becomes absorbing.
@@ -92,14 +92,14 @@
     /// Creates an estimate at the prior.
     #[must_use]
     pub fn new(now: Time) -> Self {
-        let stationary = stationary(ONSET_RATE);
-        Self { early: stationary, late: stationary, onset: ONSET_RATE, updated: now }
+        let stationary = stationary(ONSET);
+        Self { early: stationary, late: stationary, onset: ONSET, updated: now }
     }
 
     /// Creates an estimate for something that seldom fails, such as a network path.
     #[must_use]
     pub const fn sound(now: Time) -> Self {
-        Self { early: MIN_PROBABILITY, late: MIN_PROBABILITY, onset: PATH_ONSET_RATE, updated: now }
+        Self { early: MIN_PROBABILITY, late: MIN_PROBABILITY, onset: PATH_ONSET, updated: now }
     }
 
     /// Creates an estimate from the phase probabilities reported by a peer.
@@ -107,7 +107,7 @@
     pub fn told([early, late]: [f64; 2], now: Time) -> Self {
         let early = early.clamp(MIN_PROBABILITY, 1.0 - 2.0 * MIN_PROBABILITY);
         let late = late.clamp(MIN_PROBABILITY, 1.0 - MIN_PROBABILITY - early);
-        Self { early, late, onset: ONSET_RATE, updated: now }
+        Self { early, late, onset: ONSET, updated: now }
     }
 
     /// Returns the probabilities of the two unhealthy phases at `now`.
@@ -169,13 +169,13 @@
     fn predicted(&self, now: Time) -> Self {
         let secs = now.since(self.updated).as_secs_f64();
         let stationary = stationary(self.onset);
-        let damping = PHASE_END_RATE + self.onset / 2.0;
-        let frequency = (self.onset * (PHASE_END_RATE - self.onset / 4.0)).sqrt();
+        let damping = PHASE_END + self.onset / 2.0;
+        let frequency = (self.onset * (PHASE_END - self.onset / 4.0)).sqrt();
         let (sin, cos) = (frequency * secs).sin_cos();
         let (a, b) = (self.early - stationary, self.late - stationary);
         let half = self.onset / 2.0;
         let early = a * cos - (half * a + self.onset * b) * sin / frequency;
-        let late = b * cos + (PHASE_END_RATE * a + half * b) * sin / frequency;
+        let late = b * cos + (PHASE_END * a + half * b) * sin / frequency;
         let decay = (-damping * secs).exp();
         let bounded =
             |x: f64| (stationary + x * decay).clamp(MIN_PROBABILITY, 1.0 - 2.0 * MIN_PROBABILITY);
@@ -190,5 +190,5 @@
 
 /// Returns the stationary probability of each unhealthy phase.
 fn stationary(onset: f64) -> f64 {
-    onset / 2.0f64.mul_add(onset, PHASE_END_RATE)
+    onset / 2.0f64.mul_add(onset, PHASE_END)
 }
