--- a/crates/honeypulley_mesh/src/doubts.rs
+++ b/crates/honeypulley_mesh/src/doubts.rs
@@ -1,34 +1,37 @@
-//! Log lines of the doubts that other boxes raise, bounded whatever the fleet's size.
+//! Rate-limited log lines of doubts raised by the reports of other boxes.
 //!
-//! Each box receives every failure of the fleet. A request's own line has the belief by which its
-//! upstream was chosen, so that no explanation depends on the lines left out.
+//! Each box receives every failure report of the fleet, so that the number of lines would grow
+//! with the fleet's size. A request's own log line carries the belief by which its upstream was
+//! chosen, so that explaining a decision does not depend on lines that were left out.
 
 use honeypulley_policy::balance::Doubt;
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::limits::Gcra;
 use honeypulley_policy::time::Time;
 
-/// Lines a second.
-const LINES_PER_S: f64 = 4.0;
-/// Lines that may come at once.
+/// Sustained rate of log lines.
+const LINES_PER_SECOND: f64 = 4.0;
+/// Maximum burst of log lines.
 const BURST: f64 = 12.0;
 
-/// Writes lines of doubts, as far as their bound goes.
+/// Rate-limited log of doubts.
 #[derive(Debug)]
 pub struct DoubtLog {
     quota: Gcra,
-    /// Doubts without a line since the last one.
+    /// Doubts left out since the last log line.
     left_out: u64,
 }
 
 impl Default for DoubtLog {
     fn default() -> Self {
-        Self { quota: Gcra::new(LINES_PER_S), left_out: 0 }
+        Self { quota: Gcra::new(LINES_PER_SECOND), left_out: 0 }
     }
 }
 
 impl DoubtLog {
-    /// Logs a doubt that a peer's news raised, within a rate; returns whether it did.
+    /// Logs a doubt raised by a peer's report, within the rate limit.
+    ///
+    /// Returns whether a line was written.
     pub fn note(&mut self, from: NameId, d: &Doubt, now: Time) -> bool {
         if self.quota.take(BURST, now).is_err() {
             self.left_out += 1;
@@ -37,14 +40,14 @@
         let left_out = std::mem::take(&mut self.left_out);
         log::info!(
             upstream = d.upstream.as_str(), what:debug = d.what, from = from.0,
-            before = round(d.before), sick = round(d.after), left_out;
+            before = round_probability(d.before), sick = round_probability(d.after), left_out;
             "news: {} is in doubt", d.upstream
         );
         true
     }
 }
 
-/// Rounds a chance for the log.
-fn round(x: f64) -> f64 {
+/// Rounds a probability to three decimals for the log.
+fn round_probability(x: f64) -> f64 {
     (x * 1e3).round() / 1e3
 }
--- a/crates/honeypulley_mesh/src/suspects.rs
+++ b/crates/honeypulley_mesh/src/suspects.rs
@@ -1,4 +1,4 @@
-//! Requests under which upstreams ended, known to all boxes.
+//! Quarantine of requests suspected of crashing upstreams, shared by all boxes.
 
 use crate::state::Mesh;
 use honeypulley_policy::quarantine::{Hold, Quarantine, RequestNews};
@@ -16,19 +16,19 @@
 }
 
 impl Mesh {
-    /// Returns the requests that are held.
+    /// Returns the requests on hold.
     #[must_use]
     pub fn held_requests(&self) -> Vec<Hold> {
         self.held(self.now())
     }
 
-    /// Returns how many requests are suspected or held.
+    /// Returns how many requests are suspected or on hold.
     #[must_use]
     pub fn suspected_requests(&self) -> usize {
         self.quarantine.lock().len()
     }
 
-    /// Applies a peer's knowledge of suspect requests.
+    /// Applies a peer's updates about suspect requests.
     pub fn hear_requests(&self, items: Vec<RequestNews>) {
         let now = self.now();
         self.update(&mut |q| items.iter().for_each(|&news| q.heard(news, now)));
--- a/crates/honeypulley_mesh/tests/boxes/foreign.rs
+++ b/crates/honeypulley_mesh/tests/boxes/foreign.rs
@@ -1,4 +1,4 @@
-//! Entries of another writer among those of the upstreams.
+//! Objects of another writer among the entries of the upstreams.
 
 use crate::support::{TestBox, at, entry};
 use honeypulley_mesh::list::ListChange;
@@ -6,14 +6,14 @@
 use honeypulley_policy::spec::MemberState;
 use std::collections::BTreeMap;
 
-/// Gives a box what the platform's watch brought.
-fn watch(b: &TestBox, objects: Vec<Object>) {
+/// Applies objects to a box as if received from the platform's watch.
+fn apply_watched(b: &TestBox, objects: Vec<Object>) {
     let version = objects.iter().map(|o| o.version).max().unwrap_or(at(0));
     b.mesh.take_changes(&Changes { version, objects, removed: Vec::new() }, "the test");
 }
 
-/// What the serving thread is told of each upstream: its state, or nothing if it is gone.
-fn told(b: &TestBox) -> BTreeMap<String, Option<MemberState>> {
+/// Drains the serving thread's changes; returns each upstream's state, `None` if gone.
+fn pending_changes(b: &TestBox) -> BTreeMap<String, Option<MemberState>> {
     let state = |c: ListChange| match c {
         ListChange::Set(l) => (l.member.name, Some(l.member.state)),
         ListChange::Gone(name) => (name, None),
@@ -22,50 +22,50 @@
 }
 
 #[test]
-fn an_entry_that_is_overwritten_names_no_upstream_and_ends_no_other() {
+fn an_overwritten_entry_removes_only_its_own_upstream() {
     let b = TestBox::start("box1", "hall-a");
-    told(&b);
-    watch(&b, vec![entry("u3", "{]", 11), entry("u4", "leaving", 12)]);
+    pending_changes(&b);
+    apply_watched(&b, vec![entry("u3", "{]", 11), entry("u4", "leaving", 12)]);
     let expected = [("u3".to_owned(), None), ("u4".to_owned(), Some(MemberState::Leaving))];
-    assert_eq!(told(&b), BTreeMap::from(expected));
-    assert_eq!(b.mesh.list_now().version, at(12), "the list is complete with it");
+    assert_eq!(pending_changes(&b), BTreeMap::from(expected));
+    assert_eq!(b.mesh.list_now().version, at(12), "the list is complete up to the invalid entry");
 }
 
 #[test]
-fn an_entry_that_becomes_good_names_its_upstream_again() {
+fn a_repaired_entry_restores_its_upstream() {
     let b = TestBox::start("box1", "hall-a");
-    watch(&b, vec![entry("u3", "null", 11)]);
-    told(&b);
-    watch(&b, vec![entry("u3", "live", 12)]);
-    assert_eq!(told(&b), BTreeMap::from([("u3".to_owned(), Some(MemberState::Live))]));
+    apply_watched(&b, vec![entry("u3", "null", 11)]);
+    pending_changes(&b);
+    apply_watched(&b, vec![entry("u3", "live", 12)]);
+    assert_eq!(pending_changes(&b), BTreeMap::from([("u3".to_owned(), Some(MemberState::Live))]));
 }
 
 #[test]
-fn a_change_of_such_entries_alone_holds_up_no_version() {
+fn a_change_of_invalid_entries_advances_the_version() {
     let b = TestBox::start("box1", "hall-a");
-    watch(&b, vec![entry("stranger", "", 11)]);
+    apply_watched(&b, vec![entry("stranger", "", 11)]);
     assert_eq!(b.mesh.list_now().version, at(11));
-    assert_eq!(told(&b).get("stranger"), Some(&None));
+    assert_eq!(pending_changes(&b).get("stranger"), Some(&None));
 }
 
 #[test]
-fn a_whole_list_with_such_an_entry_is_taken_without_it() {
+fn a_full_list_applies_without_its_invalid_entries() {
     let b = TestBox::start("box1", "hall-a");
-    told(&b);
+    pending_changes(&b);
     let mut objects: Vec<Object> =
         (0..10).map(|i| entry(&format!("u{i}"), "live", i + 1)).collect();
     objects[5] = entry("u5", "what is this", 20);
     objects.push(entry("stranger", "1", 21));
     b.mesh.take_list(&Changes { version: at(21), objects, removed: Vec::new() }, "the test");
-    let told = told(&b);
-    assert_eq!(told.get("u5"), Some(&None));
-    assert!(!told.contains_key("u4"), "the others stay as they are");
+    let pending_changes = pending_changes(&b);
+    assert_eq!(pending_changes.get("u5"), Some(&None));
+    assert!(!pending_changes.contains_key("u4"), "other upstreams are unchanged");
     assert_eq!(b.mesh.upstreams(), 9);
 }
 
 #[test]
-fn such_entries_are_counted() {
+fn invalid_entries_are_counted() {
     let b = TestBox::start("box1", "hall-a");
-    watch(&b, vec![entry("u3", "{]", 11), entry("stranger", "", 12)]);
+    apply_watched(&b, vec![entry("u3", "{]", 11), entry("stranger", "", 12)]);
     assert_eq!(b.mesh.foreign_entries(), 2);
 }
