--- a/crates/honeypulley_policy/src/balance.rs
+++ b/crates/honeypulley_policy/src/balance.rs
@@ -1,10 +1,10 @@
-//! Choice by the loss to expect, for fleets whose boxes each see little traffic.
+//! Load balancing by expected loss, for fleets whose boxes each see little traffic.
 //!
-//! Every box holds a [`Belief`] about each upstream, fed by what it sees itself
-//! and by what the other boxes say at once. Each request goes where the chance of
-//! failure, the wait and the distance cost least together. Nothing is ejected, so
-//! no floor can be broken by it: an upstream that is thought sick is still taken
-//! when the others would cost more.
+//! Every box holds a [`Belief`] about each upstream, updated from its own attempts and from the
+//! announcements of its peers. Each request goes to the upstream for which failure probability,
+//! queueing delay and distance cost least together. Upstreams are never ejected, so that the
+//! availability floor can't be violated by ejections: an upstream that is believed unhealthy is
+//! still used when the others would cost more.
 
 mod admit;
 mod choice;
@@ -27,12 +27,12 @@
 use crate::router::{AttemptKey, ServiceKey, UpstreamKey};
 use crate::spec::{Member, MemberState, ServiceSpec};
 use crate::time::Time;
-use admit::Pressure;
-use failing::Failing;
+use admit::QueueAverage;
+use failing::FailureWindow;
 pub use heard::Doubt;
-use illness::Illness;
+use illness::FailureModes;
 pub use named::NamedLimit;
-use named::NamedLimits;
+use named::RateLimits;
 pub use news::News;
 use retry::RetryWindow;
 pub use retry::{BudgetUse, Past, Reach, Resend, RetryRule};
@@ -41,42 +41,41 @@
 use slotmap::SlotMap;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
-use work::WorkTimes;
+use work::LatencyHistogram;
 
-/// Aim taken where a route names none.
-const DEFAULT_AIM: Duration = Duration::from_secs(1);
+/// Latency target of routes that set none.
+const DEFAULT_TARGET: Duration = Duration::from_secs(1);
 
-/// Requests that a megabyte is worth which leaves the data hall, where none is stated.
+/// Default cost, in requests, of a megabyte sent across data halls.
 ///
-/// A download of 90 kB is then worth 0.45 of a request.
+/// A download of 90 kB then costs 0.45 of a request.
 pub const DEFAULT_HALL_PRICE: f64 = 5.0;
-/// Bytes of a megabyte.
-const BYTES_A_MB: f64 = 1e6;
-/// Lives of upstreams that are remembered as over, while attempts there may be open.
+const BYTES_PER_MB: f64 = 1e6;
+/// Maximum number of ended incarnations that are kept for attempts still in flight there.
 ///
-/// All of a service of 200 that start again together, within the time of one request.
-const MOST_ENDED: usize = 256;
+/// Sized for a service of 200 upstreams that all restart within the duration of one request.
+const MAX_ENDED: usize = 256;
 
-/// One upstream with what the list says of its size and age.
+/// An upstream as listed, with its capacity and start time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Listed {
     /// Name, service, address, data hall and state.
     pub member: Member,
-    /// Requests it runs at one time.
+    /// Requests that it processes concurrently.
     pub slots: usize,
-    /// How much longer it is slow from its start.
+    /// Remaining time for which it is slow after its start.
     pub cold: Duration,
-    /// When its process started, in milliseconds since 1970, if it says.
+    /// Start time of its process in milliseconds since 1970, if reported.
     pub born: Option<u64>,
 }
 
 impl Listed {
-    /// Returns the id of this life of the upstream.
+    /// Returns the id of this incarnation of the upstream.
     ///
-    /// One that starts again under its name knows nothing of before, and nothing that was
-    /// learnt of the former life holds for it. Boxes that speak of a former life then speak of
-    /// an upstream that the others do not know. The times are only compared for being the
-    /// same: a clock that was set back makes a new life as well.
+    /// A restarted upstream keeps no state, so nothing that was learnt of the previous
+    /// incarnation applies to it, and announcements about the previous one name an unknown id.
+    /// Start times are only compared for equality, so a clock that was set back also gives a
+    /// new incarnation.
     #[must_use]
     pub fn life(&self) -> NameId {
         let name = &self.member.name;
@@ -84,29 +83,29 @@
     }
 }
 
-/// Attempts that another box of this data hall has open.
+/// Attempts that another box of this data hall has in flight at an upstream.
 #[derive(Clone, Copy, Debug)]
-struct PeerOpen {
+struct PeerInFlight {
     from: NameId,
     count: u16,
-    /// When the oldest of them began, as far as is known.
+    /// Start of the oldest of them, as far as is known.
     since: Time,
-    /// Whether others waited there when it began.
+    /// Whether all slots of the upstream were taken when it started.
     queued: bool,
-    /// Likelihood ratio that the peer has announced, sick against well.
-    told: f64,
+    /// Likelihood ratio (unhealthy to healthy) that the peer has already announced.
+    announced: f64,
 }
 
-/// Another box that could not reach an upstream.
+/// Report of another box that could not connect to an upstream.
 #[derive(Clone, Copy, Debug)]
-struct Unreached {
+struct ConnectFailure {
     from: NameId,
     at: Time,
 }
 
-/// Requests at an upstream that boxes of other data halls sent.
+/// Load of an upstream by requests of other data halls.
 #[derive(Clone, Copy, Debug)]
-struct FarLoad {
+struct RemoteLoad {
     count: f64,
     at: Time,
 }
@@ -118,37 +117,37 @@
     id: NameId,
     service: ServiceKey,
     hall: NameId,
-    near: bool,
+    local: bool,
     leaving: bool,
-    /// Another incarnation answered at its address.
+    /// Whether another incarnation answered at its address.
     misdirected: bool,
-    /// What it says of itself in its answers.
+    /// What it declared about itself in its answers.
     declared: Declared,
     slots: f64,
     cold_until: Time,
-    /// Open attempts of this box.
-    mine: Vec<AttemptKey>,
-    peers: Vec<PeerOpen>,
-    /// Requests that this data hall does not know of, by the newest report.
-    far: Option<FarLoad>,
-    /// What all boxes saw of it.
+    /// Attempts of this box in flight.
+    in_flight: Vec<AttemptKey>,
+    peers: Vec<PeerInFlight>,
+    /// Requests of other data halls by the latest load report.
+    remote: Option<RemoteLoad>,
+    /// Belief about the upstream itself, from observations of all boxes.
     shared: Belief,
-    /// What only the path from this box shows.
+    /// Belief about the network path from this box.
     path: Belief,
-    /// Whether anything was observed of it, by this box or a peer.
-    taught: bool,
-    /// Other boxes that could not reach it, since one was answered.
-    unreached: Vec<Unreached>,
-    /// Whether the other halls know that it is well since its last failure.
-    told_well: bool,
-    joined: Time,
-    /// When a box of this data hall last sent it something, as far as is known.
-    worked: Option<Time>,
-    /// When a box of this data hall was last answered well, as far as is known.
-    answered: Option<Time>,
-    /// When something last failed there.
-    failed: Option<Time>,
-    /// Failures one after the other, with no success between.
+    /// Whether this box or a peer has observed anything of it.
+    observed: bool,
+    /// Connection failures that other boxes reported since its last successful answer.
+    connect_failures: Vec<ConnectFailure>,
+    /// Whether its recovery from the last failure was announced to the other data halls.
+    recovery_announced: bool,
+    added: Time,
+    /// When a box of this data hall last sent it a request, as far as is known.
+    last_sent: Option<Time>,
+    /// When it last answered a box of this data hall successfully, as far as is known.
+    last_success: Option<Time>,
+    /// Time of its last failure.
+    last_failure: Option<Time>,
+    /// Number of consecutive failures.
     streak: u32,
 }
 
@@ -156,76 +155,76 @@
 struct Service {
     spec: ServiceSpec,
     id: NameId,
-    work: WorkTimes,
+    latencies: LatencyHistogram,
     retries: RetryWindow,
-    failing: Failing,
-    pressure: Pressure,
+    failures: FailureWindow,
+    queueing: QueueAverage,
     /// When this box first learned of it.
-    began: Time,
+    added: Time,
     upstreams: Vec<UpstreamKey>,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Attempt {
     upstream: UpstreamKey,
-    /// Incarnation that it went to, which may not be listed any more.
+    /// Incarnation that the attempt went to, which may no longer be listed.
     id: NameId,
     service: ServiceKey,
     route: NameId,
     started: Time,
-    aim: Duration,
-    /// Time that it was given, if that is bounded.
+    target: Duration,
+    /// Time limit of the attempt, if there is one.
     left: Option<Duration>,
-    /// Whether others waited there when it began, so that its age says little.
+    /// Whether it had to queue at the start, so that its age is weak evidence.
     queued: bool,
-    /// Likelihood ratio announced while it was in flight, sick against well.
-    told: f64,
+    /// Likelihood ratio (unhealthy to healthy) announced while it was in flight.
+    announced: f64,
     answer: Option<AnswerKind>,
-    /// Requests of other data halls, by the report that came with the answer.
-    far: Option<u8>,
+    /// Requests of other data halls, by the load report in the answer.
+    remote: Option<u8>,
 }
 
-/// What the head of an answer said.
+/// Result in the head of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AnswerKind {
     Good,
     Bad,
 }
 
-/// State of one upstream as an operator sees it.
+/// State of one upstream for operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BalanceStatus {
     /// Service name.
     pub service: String,
     /// Upstream name.
     pub upstream: String,
-    /// Whether it takes no new work.
+    /// Whether it gets no new requests.
     pub leaving: bool,
-    /// Chance that it is sick, by what all boxes saw.
+    /// Probability that it is unhealthy, from observations of all boxes.
     pub sick: f64,
-    /// Chance that this box's path to it is bad.
+    /// Probability that the network path from this box is faulty.
     pub path: f64,
-    /// Attempts of this box that are open.
+    /// Number of attempts of this box in flight.
     pub open: usize,
-    /// The limit that it names.
+    /// The rate limit that it advertises.
     pub limit: Option<NamedLimit>,
-    /// How long this box sends it nothing, as it asked for.
+    /// Remaining backoff that it requested from this box.
     pub backoff: Option<Duration>,
 }
 
-/// One box's routing state.
+/// Load balancer of one box.
 #[derive(Debug)]
 pub struct Balancer {
     hall: String,
     hall_id: NameId,
     reach: Reach,
-    /// Boxes of this data hall, this one included.
+    /// Number of boxes in this data hall, including this one.
     hall_boxes: usize,
-    /// Boxes of each data hall.
+    /// Number of boxes in each data hall.
     halls: BTreeMap<NameId, usize>,
-    /// Whether this box is isolated.
-    alone: bool,
-    rule: RetryRule,
+    /// Whether this box is isolated from its peers.
+    isolated: bool,
+    retry_rule: RetryRule,
     past: Past,
     services: SlotMap<ServiceKey, Service>,
     by_name: BTreeMap<String, ServiceKey>,
@@ -233,40 +232,40 @@
     by_id: BTreeMap<NameId, UpstreamKey>,
     upstreams: SlotMap<UpstreamKey, Upstream>,
     attempts: SlotMap<AttemptKey, Attempt>,
-    /// Answer times by route, for the routes that this box has served.
-    routes: BTreeMap<NameId, WorkTimes>,
-    /// Lengths of answers by route.
+    /// Latency by route, for routes that this box has served.
+    route_latencies: BTreeMap<NameId, LatencyHistogram>,
+    /// Answer sizes by route.
     sizes: AnswerSizes,
-    /// Requests that a byte is worth which leaves the data hall.
-    hall_price: f64,
-    illness: Illness,
-    /// Limits that upstreams name.
-    limits: NamedLimits,
+    /// Cost, in requests, of a byte sent across data halls.
+    byte_cost: f64,
+    failure_modes: FailureModes,
+    /// Rate limits that upstreams advertise.
+    limits: RateLimits,
     unlisted: Unlisted,
-    /// Boxes that did not reach an upstream which answered others, and when it did.
+    /// Boxes that reported an upstream as unreachable which then answered others, and when.
     contradicted: BTreeMap<NameId, Time>,
     listed: BTreeMap<String, Listed>,
-    /// Upstreams that have started again since, the last of them.
-    ended: VecDeque<UpstreamKey>,
+    /// Latest ended incarnations of upstreams that have restarted.
+    restarted: VecDeque<UpstreamKey>,
     news: Vec<News>,
     rng: fastrand::Rng,
-    /// What sets this box's draws apart from those of others.
+    /// Seed that makes the random draws of this box differ from those of others.
     seed: u64,
 }
 
 impl Balancer {
-    /// Builds the state of a box in data hall `hall`.
+    /// Creates the balancer of a box in data hall `hall`.
     #[must_use]
-    pub fn new(hall: &str, rule: RetryRule, seed: u64) -> Self {
+    pub fn new(hall: &str, retry_rule: RetryRule, seed: u64) -> Self {
         Self {
             hall: hall.to_owned(),
             hall_id: NameId::of(hall),
             reach: Reach { boxes: 1, in_touch: true },
             hall_boxes: 1,
             halls: BTreeMap::from([(NameId::of(hall), 1)]),
-            alone: false,
-            limits: NamedLimits::new(hall, Past::Unknown, seed),
-            rule,
+            isolated: false,
+            limits: RateLimits::new(hall, Past::Unknown, seed),
+            retry_rule,
             past: Past::Unknown,
             services: SlotMap::with_key(),
             by_name: BTreeMap::new(),
@@ -274,38 +273,38 @@
             by_id: BTreeMap::new(),
             upstreams: SlotMap::with_key(),
             attempts: SlotMap::with_key(),
-            routes: BTreeMap::new(),
+            route_latencies: BTreeMap::new(),
             sizes: AnswerSizes::default(),
-            hall_price: DEFAULT_HALL_PRICE / BYTES_A_MB,
-            illness: Illness::default(),
+            byte_cost: DEFAULT_HALL_PRICE / BYTES_PER_MB,
+            failure_modes: FailureModes::default(),
             unlisted: Unlisted::default(),
             contradicted: BTreeMap::new(),
             listed: BTreeMap::new(),
-            ended: VecDeque::new(),
+            restarted: VecDeque::new(),
             news: Vec::new(),
             rng: fastrand::Rng::with_seed(seed),
             seed,
         }
     }
 
-    /// Sets what is known of the retries before this box started.
+    /// Sets what is known of retries before this box started.
     #[must_use]
     pub fn with_past(mut self, past: Past) -> Self {
         self.past = past;
-        self.limits = NamedLimits::new(&self.hall, past, self.seed);
+        self.limits = RateLimits::new(&self.hall, past, self.seed);
         self
     }
 
-    /// Sets how many requests a megabyte costs that leaves the data hall.
+    /// Sets the cost, in requests, of a megabyte sent across data halls.
     #[must_use]
     pub fn with_hall_price(mut self, requests: f64) -> Self {
-        self.hall_price = requests / BYTES_A_MB;
+        self.byte_cost = requests / BYTES_PER_MB;
         self
     }
 
-    /// Sets the boxes among which the retry budget is shared.
+    /// Sets the boxes that share the retry budget.
     ///
-    /// They stand in this data hall unless [`Self::set_halls`] names others.
+    /// They count as boxes of this data hall unless [`Self::set_halls`] says otherwise.
     pub fn set_reach(&mut self, reach: Reach) {
         self.reach = reach;
         if self.halls.len() < 2 {
@@ -314,23 +313,24 @@
         }
     }
 
-    /// Sets how many of those boxes each data hall has, this one included, and whether
-    /// this box is isolated.
-    pub fn set_halls(&mut self, halls: &BTreeMap<NameId, usize>, alone: bool) {
-        self.alone = alone;
+    /// Sets the number of boxes by data hall.
+    ///
+    /// The numbers include this box; `isolated` tells whether it is cut off from its peers.
+    pub fn set_halls(&mut self, halls: &BTreeMap<NameId, usize>, isolated: bool) {
+        self.isolated = isolated;
         if self.halls != *halls {
             self.halls.clone_from(halls);
             self.hall_boxes = halls.get(&self.hall_id).copied().unwrap_or(1);
         }
     }
 
-    /// Applies the services of a table; what was learnt of kept ones stays.
+    /// Replaces the services; state of services that remain is kept.
     pub fn set_services(&mut self, specs: &[ServiceSpec], now: Time) {
-        let mut gone: BTreeSet<String> = self.by_name.keys().cloned().collect();
-        // A service of a later table had no requests before this box learned of it.
+        let mut removed: BTreeSet<String> = self.by_name.keys().cloned().collect();
+        // A service that is added later had no requests before this box learned of it.
         let past = if self.by_name.is_empty() { self.past } else { Past::Empty };
         for spec in specs {
-            gone.remove(&spec.name);
+            removed.remove(&spec.name);
             if let Some(&k) = self.by_name.get(&spec.name) {
                 self.services[k].spec = spec.clone();
                 continue;
@@ -341,54 +341,54 @@
             let waiting: Vec<Listed> =
                 self.listed.values().filter(|l| l.member.service == spec.name).cloned().collect();
             for l in waiting {
-                self.add(k, &l, now);
+                self.add_upstream(k, &l, now);
             }
         }
-        for name in gone {
+        for name in removed {
             let Some(k) = self.by_name.remove(&name) else { continue };
             let Some(s) = self.services.remove(k) else { continue };
             self.services_by_id.remove(&s.id);
             for u in s.upstreams {
-                self.forget(u);
+                self.discard(u);
             }
         }
     }
 
-    /// Applies one new or changed entry of the list.
+    /// Adds or updates a list entry.
     pub fn set_upstream(&mut self, l: Listed, now: Time) {
         let name = l.member.name.clone();
         let former = self.listed.get(&name).map(Listed::life).filter(|&id| id != l.life());
         if let Some(k) = former.and_then(|id| self.by_id.get(&id).copied()) {
-            self.end(k);
+            self.end_incarnation(k);
         }
         if let Some(&k) = self.by_name.get(&l.member.service) {
-            self.add(k, &l, now);
+            self.add_upstream(k, &l, now);
         }
         self.listed.insert(name, l);
     }
 
-    /// Removes an entry that left the list: its upstream gets no new work.
+    /// Removes a list entry, so that its upstream gets no new requests.
     pub fn remove_upstream(&mut self, name: &str) {
         let Some(l) = self.listed.remove(name) else { return };
         let Some(k) = self.by_id.get(&l.life()).copied() else { return };
-        self.leave_service(k);
-        self.forget(k);
+        self.detach(k);
+        self.discard(k);
     }
 
-    /// Records that an upstream has restarted: what was open there is over.
-    fn end(&mut self, k: UpstreamKey) {
-        self.leave_service(k);
+    /// Ends an incarnation after a restart; its attempts in flight are lost.
+    fn end_incarnation(&mut self, k: UpstreamKey) {
+        self.detach(k);
         if let Some(u) = self.upstreams.get(k) {
-            self.limits.forget(u.id);
+            self.limits.discard(u.id);
         }
-        self.forget(k);
-        self.ended.push_back(k);
-        if self.ended.len() > MOST_ENDED {
-            self.ended.pop_front();
+        self.discard(k);
+        self.restarted.push_back(k);
+        if self.restarted.len() > MAX_ENDED {
+            self.restarted.pop_front();
         }
     }
 
-    fn leave_service(&mut self, k: UpstreamKey) {
+    fn detach(&mut self, k: UpstreamKey) {
         if let Some(u) = self.upstreams.get(k)
             && let Some(s) = self.services.get_mut(u.service)
         {
@@ -396,7 +396,7 @@
         }
     }
 
-    fn add(&mut self, service: ServiceKey, l: &Listed, now: Time) {
+    fn add_upstream(&mut self, service: ServiceKey, l: &Listed, now: Time) {
         let id = l.life();
         let leaving = l.member.state == MemberState::Leaving;
         if let Some(u) = self.by_id.get(&id).and_then(|&k| self.upstreams.get_mut(k)) {
@@ -411,24 +411,24 @@
             id,
             service,
             hall: NameId::of(&l.member.hall),
-            near: l.member.hall == self.hall,
+            local: l.member.hall == self.hall,
             leaving,
             misdirected: false,
             declared: self.unlisted.take(id),
             slots: l.slots.max(1) as f64,
             cold_until: now + l.cold,
-            mine: Vec::new(),
+            in_flight: Vec::new(),
             peers: Vec::new(),
-            far: None,
+            remote: None,
             shared: Belief::new(now),
             path: Belief::sound(now),
-            taught: false,
-            unreached: Vec::new(),
-            told_well: true,
-            joined: now,
-            worked: None,
-            answered: None,
-            failed: None,
+            observed: false,
+            connect_failures: Vec::new(),
+            recovery_announced: true,
+            added: now,
+            last_sent: None,
+            last_success: None,
+            last_failure: None,
             streak: 0,
         };
         let k = self.upstreams.insert(up);
@@ -436,10 +436,10 @@
         self.services[service].upstreams.push(k);
     }
 
-    fn forget(&mut self, k: UpstreamKey) {
+    fn discard(&mut self, k: UpstreamKey) {
         if let Some(u) = self.upstreams.remove(k) {
             self.by_id.remove(&u.id);
-            self.unlisted.keep(u.id, u.declared);
+            self.unlisted.store(u.id, u.declared);
         }
     }
 
@@ -449,19 +449,19 @@
         self.by_name.get(name).copied()
     }
 
-    /// Counts one request for a service, from which its retry budget grows.
+    /// Counts an incoming request, which adds to its service's retry budget.
     pub fn arrived(&mut self, k: ServiceKey, now: Time) {
         if let Some(s) = self.services.get_mut(k) {
-            s.retries.arrived(&self.rule, now);
+            s.retries.record_request(&self.retry_rule, now);
         }
     }
 
-    /// Drains the news to broadcast.
+    /// Drains the announcements to broadcast.
     pub fn take_news(&mut self) -> Vec<News> {
         std::mem::take(&mut self.news)
     }
 
-    /// Returns the state of every upstream, for operators.
+    /// Returns the state of every upstream for operators.
     #[must_use]
     pub fn status(&self, now: Time) -> Vec<BalanceStatus> {
         let row = |(k, u): (UpstreamKey, &Upstream)| BalanceStatus {
@@ -470,7 +470,7 @@
             leaving: u.is_leaving(),
             sick: u.shared.chance(now),
             path: u.path.chance(now),
-            open: u.mine.len(),
+            open: u.in_flight.len(),
             limit: self.limit_of(k, now),
             backoff: u.backoff_left(now),
         };
@@ -485,14 +485,14 @@
 }
 
 impl Service {
-    fn new(spec: ServiceSpec, past: Past, began: Time) -> Self {
+    fn new(spec: ServiceSpec, past: Past, added: Time) -> Self {
         Self {
             id: NameId::of(&spec.name),
-            work: WorkTimes::default(),
-            retries: RetryWindow::new(past, began),
-            failing: Failing::default(),
-            pressure: Pressure::default(),
-            began,
+            latencies: LatencyHistogram::default(),
+            retries: RetryWindow::new(past, added),
+            failures: FailureWindow::default(),
+            queueing: QueueAverage::default(),
+            added,
             upstreams: Vec::new(),
             spec,
         }
--- a/crates/honeypulley_policy/src/balance/admit.rs
+++ b/crates/honeypulley_policy/src/balance/admit.rs
@@ -1,57 +1,57 @@
-//! Whether a request is sent at all.
+//! Admission control under overload.
 //!
-//! Where every upstream has so many requests waiting that an answer would come too
-//! late, one more only makes all others later: the work of those that give up is lost,
-//! and a fleet that could serve four fifths in time serves one fifth. Such a request
-//! is rejected at once, with the time at which the queue will have drained.
+//! Once queues are so long that answers miss their deadline, every further request delays all
+//! others, and work for callers that gave up is wasted: a fleet that could serve four fifths of
+//! the requests in time serves one fifth. Such a request is rejected at once, with a
+//! `Retry-After` by which the queue will have drained.
 
-use super::doubt::assumed;
-use super::{Balancer, DEFAULT_AIM};
+use super::doubt::latency_prior;
+use super::{Balancer, DEFAULT_TARGET};
 use crate::chooser::Ask;
 use crate::router::{Refusal, RefusalKind, UpstreamKey};
 use crate::time::Time;
 use std::time::Duration;
 
-/// Expected answer time, in aims, above which a request is rejected while queues are transient.
-const PASSING_AIMS: f64 = 1.25;
-/// Time constant of the average that tells a standing queue from a transient one.
+/// Expected latency above which requests are rejected in a transient queue, in targets.
+const TRANSIENT_TARGETS: f64 = 1.25;
+/// Time constant of the moving average that tells standing queues from transient ones.
 ///
 /// Longer than the interval of RFC 8289, since a box sees few requests of a service.
-const PRESSURE_TIME: Duration = Duration::from_secs(1);
-/// Share of requests that had to queue above which the queue counts as standing.
+const QUEUE_TIME: Duration = Duration::from_secs(1);
+/// Share of queued requests above which the queue counts as standing.
 const STANDING_SHARE: f64 = 0.5;
-/// Expected answer time, in aims, above which a request is rejected while a queue stands.
-const MOST_AIMS: f64 = 0.65;
-/// Share of the time beyond the aim that is granted where a route holds requests longer.
+/// Expected latency above which requests are rejected in a standing queue, in targets.
+const STANDING_TARGETS: f64 = 0.65;
+/// Share of the time beyond the target that is allowed on routes with longer time limits.
 ///
-/// Such a route wants late answers too.
+/// Such routes still benefit from late answers.
 const LATE_SHARE: f64 = 0.5;
-/// Share of that time granted to a retry while a queue stands: retries are rejected first.
-const AGAIN_SHARE: f64 = 0.5;
+/// Share of the allowed latency for retries in a standing queue: retries are rejected first.
+const RETRY_SHARE: f64 = 0.5;
 /// Bounds of the `Retry-After` of a rejected request.
-pub(super) const WAIT_BOUNDS: (Duration, Duration) =
+pub(super) const RETRY_AFTER_BOUNDS: (Duration, Duration) =
     (Duration::from_millis(100), Duration::from_secs(2));
 
-/// Returns the time within which an answer has to be expected.
-fn granted(ask: &Ask, aims: f64) -> Duration {
-    let aim = ask.aim.unwrap_or(DEFAULT_AIM);
-    let late = ask.left.map_or(Duration::ZERO, |left| left.saturating_sub(aim));
-    let granted = aim.mul_f64(aims).max(late.mul_f64(LATE_SHARE));
-    ask.left.map_or(granted, |left| granted.min(left))
+/// Returns the highest expected latency at which a request is admitted.
+fn allowed_latency(ask: &Ask, targets: f64) -> Duration {
+    let target = ask.aim.unwrap_or(DEFAULT_TARGET);
+    let late = ask.left.map_or(Duration::ZERO, |left| left.saturating_sub(target));
+    let allowed = target.mul_f64(targets).max(late.mul_f64(LATE_SHARE));
+    ask.left.map_or(allowed, |left| allowed.min(left))
 }
 
-/// How much of the time requests of a service had to queue, over the last moments.
+/// Moving average of the share of a service's requests that have to queue.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Pressure {
+pub(super) struct QueueAverage {
     share: f64,
     at: Option<Time>,
 }
 
-impl Pressure {
-    /// Records whether a request would have to queue; returns whether a queue stands.
-    fn take(&mut self, is_queued: bool, now: Time) -> bool {
+impl QueueAverage {
+    /// Records whether a request has to queue; returns whether the queue is standing.
+    fn record(&mut self, is_queued: bool, now: Time) -> bool {
         let gap = self.at.map_or(Duration::ZERO, |at| now.since(at));
-        let kept = (-gap.as_secs_f64() / PRESSURE_TIME.as_secs_f64()).exp();
+        let kept = (-gap.as_secs_f64() / QUEUE_TIME.as_secs_f64()).exp();
         let sample = if is_queued { 1.0 } else { 0.0 };
         self.share = self.share * kept + sample * (1.0 - kept);
         self.at = Some(now);
@@ -60,7 +60,7 @@
 }
 
 impl Balancer {
-    /// Refuses a request that can't be expected to be answered in time anywhere.
+    /// Rejects a request that no upstream can be expected to answer in time.
     pub(super) fn admit(
         &mut self,
         k: UpstreamKey,
@@ -69,31 +69,33 @@
         now: Time,
     ) -> Result<(), Refusal> {
         let wait = self.wait(k, ask, now);
-        let expected = wait + self.usual_within(ask, 0.5);
-        let least = granted(ask, MOST_AIMS);
+        let expected = wait + self.latency_quantile(ask, 0.5);
+        let least = allowed_latency(ask, STANDING_TARGETS);
         let service = self.services.get_mut(ask.service);
-        let stands = service.is_some_and(|s| s.pressure.take(expected > least, now));
-        let most = match (stands, is_first) {
-            (false, _) => granted(ask, PASSING_AIMS),
+        let is_standing = service.is_some_and(|s| s.queueing.record(expected > least, now));
+        let most = match (is_standing, is_first) {
+            (false, _) => allowed_latency(ask, TRANSIENT_TARGETS),
             (true, true) => least,
-            (true, false) => least.mul_f64(AGAIN_SHARE),
+            (true, false) => least.mul_f64(RETRY_SHARE),
         };
-        // What does not wait is refused by nobody: how long its work takes isn't known.
+        // Only queueing delay is a reason for rejection, since the service time of this request
+        // is unknown.
         let excess = expected.saturating_sub(most).min(wait);
         if excess.is_zero() {
             return Ok(());
         }
-        let (shortest, longest) = WAIT_BOUNDS;
+        let (shortest, longest) = RETRY_AFTER_BOUNDS;
         let drained = (excess + most / 2).clamp(shortest, longest);
         Err(self.refuse(RefusalKind::Overload, drained))
     }
 
-    /// Returns how long a request would wait at an upstream before it is worked on.
+    /// Returns the queueing delay to expect at an upstream.
     pub(super) fn wait(&self, k: UpstreamKey, ask: &Ask, now: Time) -> Duration {
         let (Some(u), Some(s)) = (self.upstreams.get(k), self.services.get(ask.service)) else {
             return Duration::ZERO;
         };
-        let work = s.work.within(0.5, assumed(ask.aim.unwrap_or(DEFAULT_AIM)));
-        u.wait(u.busy(now), work)
+        let service_time =
+            s.latencies.quantile(0.5, latency_prior(ask.aim.unwrap_or(DEFAULT_TARGET)));
+        u.wait(u.busy(now), service_time)
     }
 }
--- a/crates/honeypulley_policy/src/balance/choice.rs
+++ b/crates/honeypulley_policy/src/balance/choice.rs
@@ -1,8 +1,8 @@
-//! Choice among a service's upstreams.
+//! Selection of an upstream by expected loss.
 
-use super::doubt::assumed;
-use super::trial::TrialRule;
-use super::{Attempt, Balancer, BudgetUse, DEFAULT_AIM, Resend, Service, Upstream};
+use super::doubt::latency_prior;
+use super::trial::ProbeRule;
+use super::{Attempt, Balancer, BudgetUse, DEFAULT_TARGET, Resend, Service, Upstream};
 use crate::belief::FAILS_SICK;
 use crate::chooser::{Ask, Chooser, Inputs, Place};
 use crate::router::{
@@ -12,62 +12,64 @@
 use crate::time::Time;
 use std::time::Duration;
 
-/// Loss of a failed attempt, in requests, if the request may be retried.
+/// Loss, in requests, of a failed attempt that may be retried.
 const REPEATABLE_LOSS: f64 = 0.5;
-/// Loss of a failed attempt if it may not.
+/// Loss of a failed attempt that may not be retried.
 const UNSAFE_LOSS: f64 = 1.0;
-/// Loss of a wait as long as the aim.
+/// Loss of a queueing delay as long as the latency target.
 const WAIT_LOSS: f64 = 0.8;
-/// Loss of running beside others, at full slots; some upstreams slow down then.
-const CROWD_LOSS: f64 = 0.03;
-/// Loss of leaving the data hall, for the longer way; the bytes that cross come on top.
-const HALL_LOSS: f64 = 0.015;
-/// Loss of an upstream that is still slow from its start.
-const COLD_LOSS: f64 = 0.06;
-/// Loss above the least one up to which upstreams are equivalent, and one is drawn at random.
+/// Loss of sharing an upstream at full slots; some upstreams slow down under concurrency.
+const CONCURRENCY_LOSS: f64 = 0.03;
+/// Loss of the longer network path to another data hall, without the cost of the bytes sent.
+const CROSS_HALL_LOSS: f64 = 0.015;
+/// Loss of an upstream that is still slow after its start.
+const WARMUP_LOSS: f64 = 0.06;
+/// Difference to the least loss up to which upstreams are equivalent.
 ///
-/// All boxes hold similar beliefs, and would otherwise send to the same upstream at once.
-const ALIKE_LOSS: f64 = 0.06;
-/// Time in which a report of other halls' requests loses most of its meaning.
-const LOAD_LIFE: Duration = Duration::from_millis(500);
-/// Share of answers that come faster than a send which is thought to be in time.
-const IN_TIME_SHARE: f64 = 0.3;
-/// `Retry-After` when no upstream is listed.
-const EMPTY_WAIT: Duration = Duration::from_millis(500);
-
-/// What a request would lose at one upstream.
+/// One of them is drawn at random, since all boxes hold similar beliefs and would otherwise
+/// send to the same upstream at once.
+const TIE_MARGIN: f64 = 0.06;
+/// Time constant by which the reported load of other data halls decays.
+const LOAD_DECAY: Duration = Duration::from_millis(500);
+/// Latency quantile that must fit into the remaining time for a send to be in time.
+const IN_TIME_QUANTILE: f64 = 0.3;
+/// `Retry-After` when no upstream is available.
+const NO_UPSTREAM_WAIT: Duration = Duration::from_millis(500);
+
+/// Expected loss of a request at one upstream.
 #[derive(Clone, Copy, Debug)]
-struct Offer {
+struct Candidate {
     upstream: UpstreamKey,
-    near: bool,
+    local: bool,
     loss: f64,
 }
 
-impl Offer {
-    /// Returns whether it is as good as the least loss; what is drawn leaves no data hall.
-    fn is_like(&self, least: &Self) -> bool {
-        self.near == least.near && self.loss <= least.loss + ALIKE_LOSS
+impl Candidate {
+    /// Returns whether it is equivalent to the least loss; random draws never cross data halls.
+    fn is_tied(&self, least: &Self) -> bool {
+        self.local == least.local && self.loss <= least.loss + TIE_MARGIN
     }
 }
 
 impl Chooser for Balancer {
     fn pick(&mut self, ask: &Ask, tried: &[UpstreamKey], now: Time) -> Result<Pick, Refusal> {
         let Some(s) = self.services.get(ask.service) else {
-            return Err(self.refuse(RefusalKind::NoUpstream, EMPTY_WAIT));
+            return Err(self.refuse(RefusalKind::NoUpstream, NO_UPSTREAM_WAIT));
         };
-        let aim = ask.aim.unwrap_or(DEFAULT_AIM);
-        let work = s.work.within(0.5, assumed(aim));
-        let rule = TrialRule::of(s, ask, now);
+        let target = ask.aim.unwrap_or(DEFAULT_TARGET);
+        let service_time = s.latencies.quantile(0.5, latency_prior(target));
+        let rule = ProbeRule::of(s, ask, now);
         let open = self.sendable(ask, tried, now)?;
-        // A request that failed once is no trial.
-        let starved = if tried.is_empty() { self.starved(&open, rule, now) } else { None };
-        let starved = starved.map(|u| (u, Reason::Canary));
-        let chosen = starved.or_else(|| {
-            let least = self.least_loss(&open, ask, work, now)?;
+        // Retries are not used as probes.
+        let probe_target =
+            if tried.is_empty() { self.probe_target(&open, rule, now) } else { None };
+        let probe_target = probe_target.map(|u| (u, Reason::Canary));
+        let chosen = probe_target.or_else(|| {
+            let least = self.least_loss(&open, ask, service_time, now)?;
             Some((least, Reason::LeastLoss))
         });
         let Some((upstream, reason)) = chosen else {
-            return Err(self.refuse(RefusalKind::NoUpstream, EMPTY_WAIT));
+            return Err(self.refuse(RefusalKind::NoUpstream, NO_UPSTREAM_WAIT));
         };
         self.admit(upstream, ask, tried.is_empty(), now)?;
         self.count_send(upstream, now);
@@ -78,14 +80,14 @@
             service: ask.service,
             route: ask.route,
             started: now,
-            aim,
+            target,
             left: ask.left,
             queued: u.busy(now) >= u.slots,
-            told: 1.0,
+            announced: 1.0,
             answer: None,
-            far: None,
+            remote: None,
         });
-        self.began(attempt, upstream, now);
+        self.record_start(attempt, upstream, now);
         Ok(Pick { attempt, upstream, reason })
     }
 
@@ -94,16 +96,16 @@
     }
 
     fn has_restarted(&self, k: UpstreamKey) -> bool {
-        self.ended.contains(&k)
+        self.restarted.contains(&k)
     }
 
     fn inputs(&self, k: UpstreamKey, now: Time) -> Inputs {
         self.upstreams.get(k).map_or_else(Inputs::default, |u| Inputs {
-            sick: self.shared_chance(k, now),
+            sick: self.unhealthy_chance(k, now),
             path: u.path.chance(now),
             busy: u.busy(now),
-            near: u.near,
-            load_age: u.far.map(|f| now.since(f.at)),
+            near: u.local,
+            load_age: u.remote.map(|r| now.since(r.at)),
             limit: self.limit_of(k, now),
             ..Inputs::default()
         })
@@ -113,28 +115,28 @@
         let s = self.services.get(ask.service)?;
         let open = s.upstreams.iter().filter(|&&k| !self.upstreams[k].is_leaving());
         let wait = open.map(|&k| self.wait(k, ask, now)).min()?;
-        Some(wait + self.usual_within(ask, 0.5))
+        Some(wait + self.latency_quantile(ask, 0.5))
     }
 
     fn look_after(&self, ask: &Ask, age: Duration) -> Duration {
-        self.next_look(ask, age)
+        self.next_check(ask, age)
     }
 
     fn still_open(&mut self, k: AttemptKey, now: Time) {
-        self.observed_open(k, now);
+        self.record_in_flight(k, now);
     }
 
     fn hedge(&self, ask: &Ask, k: AttemptKey, now: Time) -> Option<f64> {
-        self.stuck(ask, k, now)
+        self.unanswered_chance(ask, k, now)
     }
 
     fn is_in_time(&self, ask: &Ask) -> bool {
-        ask.left.is_none_or(|left| left >= self.usual_within(ask, IN_TIME_SHARE))
+        ask.left.is_none_or(|left| left >= self.latency_quantile(ask, IN_TIME_QUANTILE))
     }
 
     fn may_send(&mut self, ask: &Ask, tried: &[UpstreamKey], now: Time) -> Result<(), Refusal> {
         if self.sendable(ask, tried, now)?.is_empty() {
-            return Err(self.refuse(RefusalKind::NoUpstream, EMPTY_WAIT));
+            return Err(self.refuse(RefusalKind::NoUpstream, NO_UPSTREAM_WAIT));
         }
         Ok(())
     }
@@ -144,12 +146,12 @@
     }
 
     fn budget_use(&self, k: ServiceKey, now: Time) -> BudgetUse {
-        let usage = |s: &Service| s.retries.usage(&self.rule, now);
+        let usage = |s: &Service| s.retries.usage(&self.retry_rule, now);
         self.services.get(k).map_or_else(BudgetUse::default, usage)
     }
 
     fn answered(&mut self, k: AttemptKey, ok: bool, now: Time) {
-        self.observed_head(k, ok, now);
+        self.record_head(k, ok, now);
     }
 
     fn sized(&mut self, k: AttemptKey, bytes: u64) {
@@ -167,70 +169,70 @@
     }
 
     fn finish(&mut self, k: AttemptKey, outcome: Outcome, now: Time) {
-        self.observed_end(k, outcome, now);
+        self.record_end(k, outcome, now);
     }
 }
 
 impl Balancer {
-    /// Returns an upstream of the least loss, or another that is as good.
+    /// Returns an upstream of least loss, drawn at random from the equivalent ones.
     fn least_loss(
         &mut self,
         open: &[UpstreamKey],
         ask: &Ask,
-        work: Duration,
+        service_time: Duration,
         now: Time,
     ) -> Option<UpstreamKey> {
-        let rate = |&upstream: &UpstreamKey| Offer {
+        let candidate = |&upstream: &UpstreamKey| Candidate {
             upstream,
-            near: self.upstreams[upstream].near,
-            loss: self.loss(upstream, ask, work, now),
+            local: self.upstreams[upstream].local,
+            loss: self.loss(upstream, ask, service_time, now),
         };
-        let offers: Vec<Offer> = open.iter().map(rate).collect();
-        let least = offers.iter().min_by(|a, b| a.loss.total_cmp(&b.loss))?;
-        let alike: Vec<&Offer> = offers.iter().filter(|o| o.is_like(least)).collect();
-        Some(alike[self.rng.usize(..alike.len())].upstream)
+        let candidates: Vec<Candidate> = open.iter().map(candidate).collect();
+        let least = candidates.iter().min_by(|a, b| a.loss.total_cmp(&b.loss))?;
+        let tied: Vec<&Candidate> = candidates.iter().filter(|c| c.is_tied(least)).collect();
+        Some(tied[self.rng.usize(..tied.len())].upstream)
     }
 
-    /// Returns the loss to expect of one attempt, in requests.
-    fn loss(&self, k: UpstreamKey, ask: &Ask, work: Duration, now: Time) -> f64 {
+    /// Returns the expected loss of one attempt, in requests.
+    fn loss(&self, k: UpstreamKey, ask: &Ask, service_time: Duration, now: Time) -> f64 {
         let u = &self.upstreams[k];
-        let fails = self.trouble(k, now) * FAILS_SICK;
+        let failure = self.fault_chance(k, now) * FAILS_SICK;
         let weight = if ask.repeatable { REPEATABLE_LOSS } else { UNSAFE_LOSS };
         let busy = u.busy(now);
-        let wait = u.wait(busy, work);
-        let aims = wait.as_secs_f64() / ask.aim.unwrap_or(DEFAULT_AIM).as_secs_f64();
-        let mut loss = fails * weight + aims * WAIT_LOSS + busy / u.slots * CROWD_LOSS;
-        if !u.near {
-            loss += HALL_LOSS + self.sizes.expected(ask.route, ask.bulky) * self.hall_price;
+        let wait = u.wait(busy, service_time);
+        let targets = wait.as_secs_f64() / ask.aim.unwrap_or(DEFAULT_TARGET).as_secs_f64();
+        let mut loss = failure * weight + targets * WAIT_LOSS + busy / u.slots * CONCURRENCY_LOSS;
+        if !u.local {
+            loss += CROSS_HALL_LOSS + self.sizes.expected(ask.route, ask.bulky) * self.byte_cost;
         }
         if now < u.cold_until {
-            loss += COLD_LOSS;
+            loss += WARMUP_LOSS;
         }
         loss
     }
 
-    /// Builds a refusal; the wait is lengthened at random, so that callers spread.
+    /// Builds a refusal; the wait is randomised so that callers don't return all at once.
     pub(super) fn refuse(&mut self, kind: RefusalKind, wait: Duration) -> Refusal {
         Refusal { kind, retry_after: jitter(wait, &mut self.rng) }
     }
 }
 
 impl Upstream {
-    /// Returns requests running and waiting, as far as this box knows.
+    /// Returns the number of requests running and queued, as far as this box knows.
     pub(super) fn busy(&self, now: Time) -> f64 {
-        let far = self.far.map_or(0.0, |f| {
-            f.count * (-now.since(f.at).as_secs_f64() / LOAD_LIFE.as_secs_f64()).exp()
+        let remote = self.remote.map_or(0.0, |r| {
+            r.count * (-now.since(r.at).as_secs_f64() / LOAD_DECAY.as_secs_f64()).exp()
         });
-        self.known(now) + far
+        self.hall_in_flight(now) + remote
     }
 
-    /// Returns how long one more request would wait beside so many of usual work.
-    pub(super) fn wait(&self, busy: f64, work: Duration) -> Duration {
-        work.mul_f64((busy + 1.0 - self.slots).max(0.0) / self.slots)
+    /// Returns the queueing delay of one more request, given the usual service time.
+    pub(super) fn wait(&self, busy: f64, service_time: Duration) -> Duration {
+        service_time.mul_f64((busy + 1.0 - self.slots).max(0.0) / self.slots)
     }
 
-    /// Returns requests of this data hall that are open there.
-    pub(super) fn known(&self, now: Time) -> f64 {
-        self.mine.len() as f64 + self.peers_open(now)
+    /// Returns the number of requests that this data hall has in flight there.
+    pub(super) fn hall_in_flight(&self, now: Time) -> f64 {
+        self.in_flight.len() as f64 + self.peers_in_flight(now)
     }
 }
--- a/crates/honeypulley_policy/src/balance/failing.rs
+++ b/crates/honeypulley_policy/src/balance/failing.rs
@@ -1,83 +1,83 @@
-//! Whether much of a service fails just now.
+//! Detection of services with a high failure rate.
 //!
-//! The floor is counted only while it does, and trials of upstreams that failed lately cost
-//! too much while it does not.
+//! The availability floor is only evaluated while the failure rate is high. At other times,
+//! probing upstreams that failed recently costs too much.
 
 use crate::time::Time;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Time over which failures of a service are counted: as long as the floor is.
-const SPAN: Duration = Duration::from_secs(2);
-/// Time for which a service counts as failing after it was seen to: as long as the
-/// floor is counted.
-const LASTS: Duration = Duration::from_secs(2);
-/// Time over which requests are counted; failures weigh against a steady rate.
+/// Window in which failures are counted, equal to the window of the floor.
+const WINDOW: Duration = Duration::from_secs(2);
+/// Time for which a service counts as failing after a detection, equal to the floor's window.
+const HOLD_TIME: Duration = Duration::from_secs(2);
+/// Time constant of the request rate that failures are compared with.
 const RATE_TIME: Duration = Duration::from_secs(4);
-/// Share of a service's requests that fail from which on it counts as failing.
+/// Share of failing requests above which a service counts as failing.
 ///
-/// Just below the tenth from which on the floor is counted.
-const SHARE: f64 = 0.09;
-/// Prior number of requests of which none was rejected.
-const PRIOR: f64 = 10.0;
-/// Failures of the span below which a service does not count as failing.
-const LEAST: usize = 5;
+/// Just below the 10% above which the floor is evaluated.
+const FAILURE_SHARE: f64 = 0.09;
+/// Weight of the prior, in requests of which none was shed.
+const PRIOR_REQUESTS: f64 = 10.0;
+/// Minimum number of failures in the window for a detection.
+const MIN_FAILURES: usize = 5;
 
-/// Failures of a service against its requests, as one box knows them.
+/// Recent failures and requests of a service, as far as this box knows.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Failing {
-    /// Failures of the last moments, whichever box met them.
+pub(super) struct FailureWindow {
+    /// Failures within the window, met by any box.
     failures: VecDeque<Time>,
-    /// Attempts of this data hall, each fading over [`RATE_TIME`].
-    begun: f64,
-    /// Requests that upstreams rejected, for one data hall, decaying likewise.
+    /// Attempts of this data hall, decaying with [`RATE_TIME`].
+    attempts: f64,
+    /// Shed requests per data hall, decaying likewise.
     shed: f64,
     at: Time,
-    /// When much was last seen to fail.
-    seen: Option<Time>,
+    /// Time of the last detection.
+    detected: Option<Time>,
 }
 
-impl Failing {
+impl FailureWindow {
     /// Counts an attempt of this data hall.
-    pub(super) fn began(&mut self, now: Time) {
-        self.fade(now);
-        self.begun += 1.0;
+    pub(super) fn record_attempt(&mut self, now: Time) {
+        self.decay(now);
+        self.attempts += 1.0;
     }
 
-    /// Counts a request of any box that an upstream rejected.
-    pub(super) fn shed(&mut self, halls: f64, now: Time) {
-        self.fade(now);
+    /// Counts a request of any box that an upstream shed.
+    pub(super) fn record_shed(&mut self, halls: f64, now: Time) {
+        self.decay(now);
         self.shed += 1.0 / halls;
     }
 
-    /// Returns the share of recent requests that upstreams rejected.
+    /// Returns the share of recent requests that upstreams shed.
     pub(super) fn shed_share(&self) -> f64 {
-        (self.shed / (self.begun + PRIOR)).min(1.0)
+        (self.shed / (self.attempts + PRIOR_REQUESTS)).min(1.0)
     }
 
-    fn fade(&mut self, now: Time) {
-        let kept = (-now.since(self.at).as_secs_f64() / RATE_TIME.as_secs_f64()).exp();
-        self.begun *= kept;
-        self.shed *= kept;
-        // A late announcement may be older than what was counted last.
+    fn decay(&mut self, now: Time) {
+        let factor = (-now.since(self.at).as_secs_f64() / RATE_TIME.as_secs_f64()).exp();
+        self.attempts *= factor;
+        self.shed *= factor;
+        // A delayed announcement may be older than the last update.
         self.at = self.at.max(now);
     }
 
-    /// Records a failure that a box of the fleet met, which sends `halls` times as much as
-    /// this data hall.
-    pub(super) fn failed(&mut self, halls: f64, now: Time) {
+    /// Records a failure met by any box.
+    ///
+    /// The fleet sends `halls` times as many requests as this data hall.
+    pub(super) fn record_failure(&mut self, halls: f64, now: Time) {
         self.failures.push_back(now);
-        while self.failures.pop_front_if(|t| now.since(*t) > SPAN).is_some() {}
-        let fails = self.failures.len();
-        self.fade(now);
-        let rate = self.begun * halls / RATE_TIME.as_secs_f64();
-        if fails >= LEAST && fails as f64 > SHARE * rate * SPAN.as_secs_f64() {
-            self.seen = Some(now);
+        while self.failures.pop_front_if(|t| now.since(*t) > WINDOW).is_some() {}
+        let count = self.failures.len();
+        self.decay(now);
+        let rate = self.attempts * halls / RATE_TIME.as_secs_f64();
+        if count >= MIN_FAILURES && count as f64 > FAILURE_SHARE * rate * WINDOW.as_secs_f64() {
+            self.detected = Some(now);
         }
     }
 
-    /// Returns whether much of the service failed some moments ago.
-    pub(super) fn is_now(&self, now: Time) -> bool {
-        self.seen.is_some_and(|at| now.since(at) < LASTS)
+    /// Returns whether the failure rate was high recently.
+    pub(super) fn is_failing(&self, now: Time) -> bool {
+        self.detected.is_some_and(|at| now.since(at) < HOLD_TIME)
     }
 }
--- a/crates/honeypulley_policy/src/balance/floor.rs
+++ b/crates/honeypulley_policy/src/balance/floor.rs
@@ -1,61 +1,60 @@
-//! Whether so many upstreams have work that the others may rest.
+//! The availability floor: the share of healthy upstreams that must get requests.
 //!
-//! The floor asks for work on a share of a service's upstreams that are well, not on all of
-//! them. Those that nobody needs are left alone, since the first request that meets a spell
-//! of failures is lost if it may not be repeated.
+//! Once the floor is met, the remaining upstreams need no probes. They are then left idle,
+//! since the first request that meets a fault is lost if it may not be repeated.
 
 use super::Balancer;
 use crate::router::UpstreamKey;
 use crate::time::Time;
 use std::time::Duration;
 
-/// Time within which an upstream has to have had work.
+/// Window within which an upstream must get a request.
 ///
-/// The floor is counted over two seconds; a late datagram has some room.
-pub(super) const WORK_TIME: Duration = Duration::from_millis(1_650);
-/// Time after its last work from which an upstream counts as without.
+/// The floor is evaluated over two seconds; the difference allows for delayed datagrams.
+pub(super) const FLOOR_WINDOW: Duration = Duration::from_millis(1_650);
+/// Time since its last request after which an upstream counts as idle.
 ///
-/// It is when the first boxes have their turns to try it.
-const FRESH_TIME: Duration = Duration::from_millis(1_400);
-/// Time for which an upstream has to be well before the floor counts it.
-const SOUND_AFTER: Duration = Duration::from_secs(2);
-/// Share of the upstreams that are well by which more have work than the floor asks for.
+/// The first boxes start to probe it at this time.
+const IDLE_AFTER: Duration = Duration::from_millis(1_400);
+/// Time for which an upstream must be healthy before the floor includes it.
+const HEALTHY_AFTER: Duration = Duration::from_secs(2);
+/// Share of healthy upstreams that must get requests beyond the floor.
 ///
-/// The standard deviation of such a count comes on top, since health is known by chances alone.
+/// The standard deviation of the count is added, since health is only known as a probability.
 const MARGIN: f64 = 0.04;
 
-/// What the floor asks of the upstreams of one service.
+/// Floor of one service.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct FloorRule {
-    /// Share of them that is to have work.
+    /// Share of the healthy upstreams that must get requests.
     pub(super) share: f64,
-    /// Upstreams of the service, in all data halls.
+    /// Number of upstreams of the service, in all data halls.
     pub(super) upstreams: usize,
 }
 
 impl FloorRule {
-    fn wanted(&self) -> f64 {
+    fn required_share(&self) -> f64 {
         let spread = self.share * (1.0 - self.share) / self.upstreams.max(1) as f64;
         self.share + MARGIN + spread.sqrt()
     }
 }
 
 impl Balancer {
-    /// Returns whether so many upstreams of this data hall have work that the others may rest.
-    pub(super) fn keeps_floor(&self, open: &[UpstreamKey], rule: FloorRule, now: Time) -> bool {
-        let near = open.iter().map(|&k| &self.upstreams[k]).filter(|u| u.near);
-        let (mut counted, mut working) = (0.0, 0.0);
-        for u in near {
+    /// Returns whether enough upstreams of this data hall get requests to meet the floor.
+    pub(super) fn meets_floor(&self, open: &[UpstreamKey], rule: FloorRule, now: Time) -> bool {
+        let local = open.iter().map(|&k| &self.upstreams[k]).filter(|u| u.local);
+        let (mut total, mut active) = (0.0, 0.0);
+        for u in local {
             if u.is_new() {
                 return false;
             }
-            // The chance that the floor counts it.
-            let sound = 1.0 - u.shared.chance(now.before(SOUND_AFTER));
-            counted += sound;
-            if u.worked.is_some_and(|at| now.since(at) < FRESH_TIME) {
-                working += sound;
+            // Probability that the floor includes this upstream.
+            let healthy = 1.0 - u.shared.chance(now.before(HEALTHY_AFTER));
+            total += healthy;
+            if u.last_sent.is_some_and(|at| now.since(at) < IDLE_AFTER) {
+                active += healthy;
             }
         }
-        working >= rule.wanted() * counted
+        active >= rule.required_share() * total
     }
 }
--- a/crates/honeypulley_policy/src/balance/news.rs
+++ b/crates/honeypulley_policy/src/balance/news.rs
@@ -1,50 +1,50 @@
-//! What boxes announce to each other about upstreams and the retry budget.
+//! Announcements between boxes about upstreams and the retry budget.
 
 use crate::belief::Observation;
 use crate::collector::NameId;
 use crate::fleet_limits::HallCount;
 use std::time::Duration;
 
-/// One announcement of this box to its peers.
+/// An announcement of one box to its peers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum News {
-    /// Something was seen of an upstream.
+    /// An upstream was observed.
     Seen {
         /// The upstream.
         upstream: NameId,
-        /// What was seen.
+        /// The observation.
         what: Observation,
     },
-    /// An attempt began, and this box has so many open there; for its own data hall.
+    /// An attempt started; sent within the sender's data hall.
     Open {
         /// The upstream.
         upstream: NameId,
-        /// Attempts open.
+        /// Attempts of the sender in flight there.
         count: u16,
     },
-    /// An attempt ended, and this box has so many left there; for its own data hall.
+    /// An attempt ended; sent within the sender's data hall.
     Ended {
         /// The upstream.
         upstream: NameId,
-        /// Attempts that are still open.
+        /// Attempts of the sender still in flight there.
         count: u16,
-        /// Whether it was answered well.
+        /// Whether it was answered successfully.
         served: bool,
-        /// Requests of other data halls there, by the report that came with its answer.
+        /// Requests of other data halls there, by the load report in its answer.
         far: Option<u8>,
-        /// Time since it ended, for which the announcement was delayed.
+        /// Time since it ended, by which the announcement was delayed.
         ago: Duration,
     },
-    /// An upstream of this box's data hall answers well again.
+    /// An upstream of the sender's data hall has recovered.
     Well {
         /// The upstream.
         upstream: NameId,
     },
-    /// An upstream names a limit over all boxes in its answers.
+    /// An upstream advertises a rate limit for the whole fleet.
     Limit {
         /// The upstream.
         upstream: NameId,
-        /// Requests a second; `None` if it names no limit any more.
+        /// Requests per second; `None` if the limit is withdrawn.
         rate: Option<f32>,
     },
     /// An upstream announced its shutdown.
@@ -52,71 +52,72 @@
         /// The upstream.
         upstream: NameId,
     },
-    /// What the sender believes of an upstream, for a box that has just started.
+    /// The sender's belief about an upstream, for a newly started box.
     Belief {
         /// The upstream.
         upstream: NameId,
-        /// Chances of the two phases of sickness.
+        /// Probabilities of the two phases of the unhealthy state.
         phases: [f64; 2],
     },
-    /// A request was sent to one more upstream.
+    /// A request was retried or hedged.
     Retry {
         /// Its service.
         service: NameId,
-        /// Requests for it that the sender got within the budget's window.
+        /// Requests that the sender received within the budget's window.
         seen: u16,
-        /// Requests of it that the sender retried within that window, at least.
+        /// Retries that the sender made within that window; a lower bound.
         spent: u8,
     },
-    /// Requests that all boxes retried within the window, for a box that has just
-    /// started, by one that lived through it.
+    /// Retries of all boxes within the window, for a newly started box.
+    ///
+    /// The sender was up for the whole window.
     Spent {
         /// Their service.
         service: NameId,
-        /// How many.
+        /// Number of retries.
         sum: u16,
     },
-    /// A request was not retried, since the budget was spent as far as is known.
+    /// A retry was denied, since the budget was exhausted as far as the sender knows.
     Denied {
         /// Its service.
         service: NameId,
-        /// Requests for it that the sender got within the budget's window.
+        /// Requests that the sender received within the budget's window.
         seen: u16,
-        /// Requests of it that the sender retried within that window, at least.
+        /// Retries that the sender made within that window; a lower bound.
         spent: u8,
     },
-    /// The sender admitted a request that a limit over all boxes counts; for its data hall.
+    /// The sender admitted a rate-limited request; sent within its data hall.
     Admitted {
-        /// What has the limit: an organisation, or an upstream that names one.
+        /// What the limit applies to: an organisation or an upstream.
         subject: NameId,
-        /// Requests of it that the sender admitted since it started, counted round.
+        /// Its requests that the sender admitted since it started, as a wrapping counter.
         sum: u16,
     },
-    /// What the boxes of the sender's data hall admitted of such requests.
+    /// Rate-limited requests that the boxes of the sender's data hall admitted.
     HallAdmitted {
-        /// What has the limit.
+        /// What the limit applies to.
         subject: NameId,
-        /// How much, and where.
+        /// The count, with the data hall.
         count: HallCount,
     },
 }
 
 impl News {
-    /// Returns whether it concerns the sender's data hall alone.
+    /// Returns whether it is sent within the sender's data hall only.
     #[must_use]
     pub const fn is_for_hall(&self) -> bool {
         matches!(self, Self::Open { .. } | Self::Ended { .. } | Self::Admitted { .. })
     }
 
-    /// Returns whether it may be delayed and sent with what follows it.
+    /// Returns whether it may be delayed and batched with later announcements.
     ///
-    /// An attempt that ended may wait; an admitted request is soon followed by its attempt.
+    /// The end of an attempt is not urgent; an admission is soon followed by its attempt.
     #[must_use]
     pub const fn can_wait(&self) -> bool {
         matches!(self, Self::Ended { .. } | Self::Admitted { .. })
     }
 
-    /// Returns it as announced so long after it was made.
+    /// Returns the announcement with its delay since it was created.
     #[must_use]
     pub const fn aged(self, waited: Duration) -> Self {
         match self {
--- a/crates/honeypulley_policy/src/balance/sizes.rs
+++ b/crates/honeypulley_policy/src/balance/sizes.rs
@@ -1,36 +1,36 @@
-//! How long answers are, as learnt from those that came.
+//! Answer sizes, averaged by route.
 
 use crate::collector::NameId;
 use std::collections::BTreeMap;
 
-/// Bytes assumed of a large answer, and of another, before one of its route came.
+/// Bytes assumed for a large and for any other answer, before a route has samples.
 ///
-/// The deployments' sheets have 90 kB for downloads and 0.4 to 5 kB for the others.
-const ASSUMED_BULKY: f64 = 90_000.0;
-const ASSUMED: f64 = 2_000.0;
-/// Part of a new answer in the mean: the last twenty answers or so count.
-const GAIN: f64 = 0.05;
-/// Routes whose lengths are kept; of further ones the assumed length holds.
-const MOST_ROUTES: usize = 4_096;
+/// The traffic profiles of the deployments have 90 kB for downloads and 0.4 to 5 kB for others.
+const PRIOR_LARGE: f64 = 90_000.0;
+const PRIOR_OTHER: f64 = 2_000.0;
+/// Weight of a new sample in the moving average, which covers about twenty answers.
+const SAMPLE_WEIGHT: f64 = 0.05;
+/// Maximum number of routes with an average; the assumed size is used for any others.
+const MAX_ROUTES: usize = 4_096;
 
-/// Mean lengths of answers by route.
+/// Moving averages of answer sizes by route.
 #[derive(Clone, Debug, Default)]
 pub(super) struct AnswerSizes(BTreeMap<NameId, f64>);
 
 impl AnswerSizes {
-    /// Records the length of one answer.
+    /// Records the size of one answer.
     pub(super) fn add(&mut self, route: NameId, bytes: u64) {
         let bytes = bytes as f64;
         if let Some(mean) = self.0.get_mut(&route) {
-            *mean += (bytes - *mean) * GAIN;
-        } else if self.0.len() < MOST_ROUTES {
+            *mean += (bytes - *mean) * SAMPLE_WEIGHT;
+        } else if self.0.len() < MAX_ROUTES {
             self.0.insert(route, bytes);
         }
     }
 
-    /// Returns the length to expect.
+    /// Returns the expected size.
     pub(super) fn expected(&self, route: NameId, bulky: bool) -> f64 {
-        let assumed = if bulky { ASSUMED_BULKY } else { ASSUMED };
-        self.0.get(&route).copied().unwrap_or(assumed)
+        let prior = if bulky { PRIOR_LARGE } else { PRIOR_OTHER };
+        self.0.get(&route).copied().unwrap_or(prior)
     }
 }
--- a/crates/honeypulley_policy/src/balance/trial.rs
+++ b/crates/honeypulley_policy/src/balance/trial.rs
@@ -1,103 +1,107 @@
-//! Trials: work for upstreams that would not be chosen by their loss.
+//! Probes: requests to idle upstreams that would not be selected by their loss.
 //!
-//! The floor asks for work on most upstreams that are well within any two seconds,
-//! and a trial of one that failed a moment ago fails as well. So each upstream gets
-//! some work after a while, but those that failed rest longer.
+//! The floor requires that most healthy upstreams get a request within any two seconds, but a
+//! probe of an upstream that has just failed is likely to fail as well. So each upstream gets a
+//! probe after some idle time, and one that failed gets it later.
 
-use super::floor::{FloorRule, WORK_TIME};
+use super::floor::{FLOOR_WINDOW, FloorRule};
 use super::{Balancer, Service, Upstream};
 use crate::chooser::Ask;
 use crate::router::UpstreamKey;
 use crate::time::Time;
 use std::time::Duration;
 
-/// Longest time that an upstream gets nothing, before a repeatable request goes there.
+/// Longest idle time of an upstream before a repeatable request probes it.
 ///
-/// The floor is counted over two seconds, in which most upstreams that are well must
-/// get some work whenever much fails. What fails next can't be known, so it is kept
-/// at all times, by repeatable requests as far as there are any.
-const REST_REPEATABLE: Duration = Duration::from_millis(1_000);
-/// The same on a box that has just started and knows nothing of any upstream.
+/// While the failure rate is high, the floor requires that most healthy upstreams get a request
+/// within any two seconds. As failures can't be foreseen, upstreams are probed at all times, by
+/// repeatable requests where there are any.
+const MAX_IDLE: Duration = Duration::from_millis(1_000);
+/// The same on a newly started box, which knows nothing of any upstream.
 ///
-/// Its work is spread until something is known, also after a full restart.
-const REST_YOUNG: Duration = Duration::from_millis(400);
-/// Time for which a box counts as having just started.
-const YOUNG: Duration = Duration::from_secs(5);
-/// How failed upstreams are spared trials while a service is mostly well.
+/// It spreads its requests until it has observations, also after a restart of all boxes.
+const STARTUP_MAX_IDLE: Duration = Duration::from_millis(400);
+/// Time for which a box counts as newly started.
+const STARTUP_TIME: Duration = Duration::from_secs(5);
+/// Probe backoff while the failure rate of a service is low.
 ///
-/// The floor counts an upstream again soon after its failures end, so a longer backoff could break
-/// it when all boxes are lost at such a moment.
-const USUAL_SPARING: Sparing = Sparing { rest: Duration::from_secs(4), borne: 2, doublings: 1 };
-/// The same while much of a service fails: the floor is counted then.
+/// The floor includes an upstream again soon after its recovery, so a longer backoff could
+/// violate it if all boxes are lost at that time.
+const NORMAL_BACKOFF: ProbeBackoff =
+    ProbeBackoff { base: Duration::from_secs(4), tolerated: 2, doublings: 1 };
+/// Probe backoff while the failure rate is high and the floor is evaluated.
 ///
-/// A failed upstream counts again after two seconds, so it has to be tried within four.
-const FAILING_SPARING: Sparing = Sparing { rest: Duration::from_secs(2), borne: 2, doublings: 1 };
-/// Last part of the longest time without work, over which the boxes' trials are spread.
+/// The floor includes a recovered upstream after two seconds, so it must be probed within four.
+const FAILING_BACKOFF: ProbeBackoff =
+    ProbeBackoff { base: Duration::from_secs(2), tolerated: 2, doublings: 1 };
+/// Last share of the idle time, over which the probes of different boxes are spread.
 ///
-/// Boxes that find an upstream due at once would meet there before they learn of each other.
-const TURN_SHARE: f64 = 0.15;
-/// Chance that this box's path is bad, above which the other boxes keep it at work.
-const PATH_BAD: f64 = 0.4;
-/// How upstreams that failed are spared trials.
+/// Otherwise boxes would probe the same upstream at once, before they learn of each other's
+/// probes.
+const OFFSET_SHARE: f64 = 0.15;
+/// Probability of a faulty path above which probing is left to the other boxes.
+const BAD_PATH_CHANCE: f64 = 0.4;
+
+/// Backoff of probes to upstreams that failed.
 #[derive(Clone, Copy, Debug)]
-struct Sparing {
-    /// Time after a failure in which an upstream does not count as well.
-    rest: Duration,
-    /// Failures in a row that prolong no rest, since they may be of one spell.
-    borne: u32,
-    /// Doublings of that time with each failure beyond, at the most: a spell lasts
-    /// about four seconds, so one that fails for longer is in a trouble of which the
-    /// floor does not ask.
+struct ProbeBackoff {
+    /// Time after a failure for which an upstream is not probed.
+    base: Duration,
+    /// Consecutive failures that don't extend the backoff, since one fault may cause them.
+    tolerated: u32,
+    /// Maximum number of doublings of the backoff, one for each further failure.
+    ///
+    /// A fault lasts about four seconds. An upstream that fails for longer has a fault of
+    /// another kind, which the floor does not include.
     doublings: u32,
 }
 
-impl Sparing {
-    /// Returns the time for which an upstream with so many failures in a row rests.
-    fn rest_after(self, streak: u32) -> Duration {
-        self.rest * 2u32.pow(streak.saturating_sub(self.borne).min(self.doublings))
+impl ProbeBackoff {
+    /// Returns the backoff after a number of consecutive failures.
+    fn delay(self, streak: u32) -> Duration {
+        self.base * 2u32.pow(streak.saturating_sub(self.tolerated).min(self.doublings))
     }
 }
 
-/// When an upstream that had no work gets some, for one request.
+/// Rule for when a request probes an idle upstream.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct TrialRule {
-    sparing: Sparing,
-    /// Longest time without work.
-    rest: Duration,
-    /// The floor, where the others may rest once it is kept.
+pub(super) struct ProbeRule {
+    backoff: ProbeBackoff,
+    /// Longest idle time.
+    max_idle: Duration,
+    /// The floor, if no probe is needed once it is met.
     floor: Option<FloorRule>,
 }
 
-impl TrialRule {
+impl ProbeRule {
     /// Returns the rule for a request to a service.
     pub(super) fn of(s: &Service, ask: &Ask, now: Time) -> Self {
-        let young = now.since(s.began) < YOUNG;
-        let rest = match (young, ask.repeatable) {
-            (true, _) => REST_YOUNG,
-            (false, true) => REST_REPEATABLE,
-            (false, false) => WORK_TIME,
+        let is_starting = now.since(s.added) < STARTUP_TIME;
+        let max_idle = match (is_starting, ask.repeatable) {
+            (true, _) => STARTUP_MAX_IDLE,
+            (false, true) => MAX_IDLE,
+            (false, false) => FLOOR_WINDOW,
         };
-        let failing = s.failing.is_now(now);
-        let sparing = if failing { FAILING_SPARING } else { USUAL_SPARING };
+        let failing = s.failures.is_failing(now);
+        let backoff = if failing { FAILING_BACKOFF } else { NORMAL_BACKOFF };
         let upstreams = s.upstreams.len();
         let floor = FloorRule { share: s.spec.floor.share(upstreams), upstreams };
-        // While much fails, what is believed of upstreams is least sure and the floor is
-        // counted. A trial with a repeatable request costs no more than a retry.
-        let rests = !young && !failing && !ask.repeatable;
-        Self { sparing, rest, floor: rests.then_some(floor) }
+        // While the failure rate is high, beliefs are least certain and the floor is evaluated.
+        // Probing with a repeatable request costs no more than a retry.
+        let is_floor_enough = !is_starting && !failing && !ask.repeatable;
+        Self { backoff, max_idle, floor: is_floor_enough.then_some(floor) }
     }
 }
 
 impl Balancer {
-    /// Returns an upstream of this data hall that got no work for longer than the rule
-    /// allows, if one has to get some.
-    pub(super) fn starved(
+    /// Returns an upstream of this data hall that has been idle for too long, if there is one.
+    pub(super) fn probe_target(
         &mut self,
         open: &[UpstreamKey],
-        rule: TrialRule,
+        rule: ProbeRule,
         now: Time,
     ) -> Option<UpstreamKey> {
-        if rule.floor.is_some_and(|f| self.keeps_floor(open, f, now)) {
+        if rule.floor.is_some_and(|f| self.meets_floor(open, f, now)) {
             return None;
         }
         let is_due = |k: &UpstreamKey| self.is_due(*k, rule, now);
@@ -105,29 +109,33 @@
         if due.iter().any(|&k| self.upstreams[k].is_new()) {
             due.retain(|&k| self.upstreams[k].is_new());
         }
-        self.less_doubted(&due, now)
+        self.less_suspect(&due, now)
     }
 
-    fn is_due(&self, k: UpstreamKey, rule: TrialRule, now: Time) -> bool {
+    fn is_due(&self, k: UpstreamKey, rule: ProbeRule, now: Time) -> bool {
         let u = &self.upstreams[k];
-        let is_well = !u.failed_lately(rule.sparing, now);
-        let is_free = u.near && u.busy(now) < u.slots && u.path.chance(now) < PATH_BAD;
-        let rest = u.rest(rule.sparing, now);
-        is_well && is_free && self.has_turn(u, rest, rule.rest) && !self.waits_long(k, now)
+        let is_available = !u.is_backed_off(rule.backoff, now);
+        let is_free = u.local && u.busy(now) < u.slots && u.path.chance(now) < BAD_PATH_CHANCE;
+        let idle = u.idle_time(rule.backoff, now);
+        is_available
+            && is_free
+            && self.has_idled(u, idle, rule.max_idle)
+            && !self.has_overdue(k, now)
     }
 
-    /// Returns whether a rest is long enough for this box, by a turn drawn for each rest.
-    fn has_turn(&self, u: &Upstream, rest: Duration, most: Duration) -> bool {
-        if rest <= most.mul_f64(1.0 - TURN_SHARE) {
+    /// Returns whether an upstream has been idle long enough, with a random offset for this
+    /// box.
+    fn has_idled(&self, u: &Upstream, idle: Duration, max_idle: Duration) -> bool {
+        if idle <= max_idle.mul_f64(1.0 - OFFSET_SHARE) {
             return false;
         }
-        rest > most.mul_f64(1.0 - TURN_SHARE * self.turn(u))
+        idle > max_idle.mul_f64(1.0 - OFFSET_SHARE * self.random_offset(u))
     }
 
-    /// Returns the less doubted of two drawn at random.
+    /// Returns the less suspect of two upstreams drawn at random.
     ///
-    /// Boxes that all took the longest idle one would meet there.
-    fn less_doubted(&mut self, due: &[UpstreamKey], now: Time) -> Option<UpstreamKey> {
+    /// If all boxes took the one with the longest idle time, they would probe it at once.
+    fn less_suspect(&mut self, due: &[UpstreamKey], now: Time) -> Option<UpstreamKey> {
         if due.is_empty() {
             return None;
         }
@@ -139,19 +147,19 @@
 }
 
 impl Upstream {
-    /// Returns whether nothing was ever sent there, as far as is known.
+    /// Returns whether it has never been sent a request, as far as is known.
     pub(super) const fn is_new(&self) -> bool {
-        self.worked.is_none() && self.failed.is_none()
+        self.last_sent.is_none() && self.last_failure.is_none()
     }
 
-    /// Returns whether something failed there a moment ago.
-    fn failed_lately(&self, sparing: Sparing, now: Time) -> bool {
-        self.failed.is_some_and(|at| now.since(at) < sparing.rest_after(self.streak))
+    /// Returns whether it is still in probe backoff.
+    fn is_backed_off(&self, backoff: ProbeBackoff, now: Time) -> bool {
+        self.last_failure.is_some_and(|at| now.since(at) < backoff.delay(self.streak))
     }
 
-    /// Returns how long it has been well and had no work.
-    fn rest(&self, sparing: Sparing, now: Time) -> Duration {
-        let well = self.failed.map_or(self.joined, |at| at + sparing.rest_after(self.streak));
-        now.since(self.worked.unwrap_or(self.joined).max(well))
+    /// Returns how long it has been available for probes and idle.
+    fn idle_time(&self, backoff: ProbeBackoff, now: Time) -> Duration {
+        let available = self.last_failure.map_or(self.added, |at| at + backoff.delay(self.streak));
+        now.since(self.last_sent.unwrap_or(self.added).max(available))
     }
 }
--- a/crates/honeypulley_policy/src/balance/work.rs
+++ b/crates/honeypulley_policy/src/balance/work.rs
@@ -1,54 +1,54 @@
-//! How long answers take, as learnt from those that came.
+//! Latency histograms.
 
 use std::time::Duration;
 
-/// Buckets to each doubling of the time.
+/// Buckets per doubling of the latency.
 const PER_DOUBLING: f64 = 4.0;
-/// Upper end of the first bucket, in seconds.
-const FIRST: f64 = 0.004;
-/// Buckets; the last one ends beyond a minute.
+/// Upper bound of the first bucket, in seconds.
+const FIRST_BOUND: f64 = 0.004;
+/// Number of buckets; the last one ends beyond a minute.
 const BUCKETS: usize = 56;
-/// Samples at which all are halved, so that old ones fade.
-const MOST_SAMPLES: f32 = 400.0;
-/// Samples that the prior stands for.
+/// Total at which the samples are halved, so that old ones lose weight.
+const MAX_SAMPLES: f32 = 400.0;
+/// Weight of the prior, in samples.
 const PRIOR_WEIGHT: f64 = 6.0;
-/// Shape of the prior's log-logistic tail: one answer in 28 takes three times the middle.
+/// Shape of the prior's log-logistic tail: one answer in 28 takes three times the median.
 const PRIOR_SHAPE: f64 = 3.0;
-/// Samples before the middle is trusted to place the prior.
-const WARM: f32 = 12.0;
-/// Least share that is thought to take longer than anything seen.
-const LEAST_SHARE: f64 = 0.005;
+/// Samples from which the measured median is used for the prior.
+const MIN_SAMPLES: f32 = 12.0;
+/// Lower bound of the survival function, for latencies beyond all samples.
+const MIN_SURVIVAL: f64 = 0.005;
 
-/// Histogram of answer times on a logarithmic scale, with a weak prior.
+/// Latency histogram on a logarithmic scale, with a weak prior.
 #[derive(Clone, Debug, PartialEq)]
-pub struct WorkTimes {
+pub struct LatencyHistogram {
     counts: [f32; BUCKETS],
-    /// Samples in a bucket or above it.
+    /// Samples in this bucket or a higher one.
     above: [f32; BUCKETS],
     total: f32,
-    /// Middle of what was seen, in seconds.
-    middle: f64,
+    /// Median of the samples, in seconds.
+    median: f64,
 }
 
-impl Default for WorkTimes {
+impl Default for LatencyHistogram {
     fn default() -> Self {
-        Self { counts: [0.0; BUCKETS], above: [0.0; BUCKETS], total: 0.0, middle: 0.0 }
+        Self { counts: [0.0; BUCKETS], above: [0.0; BUCKETS], total: 0.0, median: 0.0 }
     }
 }
 
-/// What is assumed where nothing was seen.
+/// Prior of the latency before there are samples.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Assumed {
-    /// Middle of the answer times, in seconds.
-    pub middle: f64,
+pub struct LatencyPrior {
+    /// Median latency, in seconds.
+    pub median: f64,
 }
 
-impl WorkTimes {
-    /// Adds the time that one answer took.
-    pub fn add(&mut self, took: Duration) {
-        self.counts[bucket(took.as_secs_f64()) as usize] += 1.0;
+impl LatencyHistogram {
+    /// Adds a sample.
+    pub fn add(&mut self, latency: Duration) {
+        self.counts[bucket(latency.as_secs_f64()) as usize] += 1.0;
         self.total += 1.0;
-        if self.total >= MOST_SAMPLES {
+        if self.total >= MAX_SAMPLES {
             self.counts.iter_mut().for_each(|c| *c /= 2.0);
         }
         let mut sum = 0.0;
@@ -57,57 +57,57 @@
             *above = sum;
         }
         self.total = sum;
-        self.middle = self.quantile(0.5);
+        self.median = self.sample_quantile(0.5);
     }
 
-    /// Returns whether enough was seen to go by it.
+    /// Returns whether there are enough samples to replace the assumed median.
     #[must_use]
     pub fn is_warm(&self) -> bool {
-        self.total >= WARM
+        self.total >= MIN_SAMPLES
     }
 
     /// Returns the share of answers that take longer than `age`.
     #[must_use]
-    pub fn survival(&self, age: Duration, assumed: Assumed) -> f64 {
-        let middle = if self.is_warm() { self.middle } else { assumed.middle };
+    pub fn survival(&self, age: Duration, prior: LatencyPrior) -> f64 {
+        let median = if self.is_warm() { self.median } else { prior.median };
         let secs = age.as_secs_f64();
-        let prior = 1.0 / (1.0 + (secs / middle).powf(PRIOR_SHAPE));
-        let above = f64::from(self.seen_above(secs));
-        let share = (above + PRIOR_WEIGHT * prior) / (f64::from(self.total) + PRIOR_WEIGHT);
-        share.clamp(LEAST_SHARE, 1.0)
+        let tail = 1.0 / (1.0 + (secs / median).powf(PRIOR_SHAPE));
+        let above = f64::from(self.samples_above(secs));
+        let share = (above + PRIOR_WEIGHT * tail) / (f64::from(self.total) + PRIOR_WEIGHT);
+        share.clamp(MIN_SURVIVAL, 1.0)
     }
 
-    /// Returns the time within which a share of the answers come.
+    /// Returns the latency that a share of the answers stay below.
     #[must_use]
-    pub fn within(&self, share: f64, assumed: Assumed) -> Duration {
+    pub fn quantile(&self, share: f64, prior: LatencyPrior) -> Duration {
         let secs = if self.is_warm() {
-            self.quantile(share)
+            self.sample_quantile(share)
         } else {
-            assumed.middle * (share / (1.0 - share)).powf(1.0 / PRIOR_SHAPE)
+            prior.median * (share / (1.0 - share)).powf(1.0 / PRIOR_SHAPE)
         };
         Duration::from_secs_f64(secs)
     }
 
-    /// Returns the samples above a time, parting the bucket that it lies in.
-    fn seen_above(&self, secs: f64) -> f32 {
-        let at = bucket(secs);
-        let i = at as usize;
-        let part = (at - i as f64) as f32;
-        self.above[i] - self.counts[i] * part
+    /// Returns the samples above a latency, interpolated within its bucket.
+    fn samples_above(&self, secs: f64) -> f32 {
+        let position = bucket(secs);
+        let i = position as usize;
+        let fraction = (position - i as f64) as f32;
+        self.above[i] - self.counts[i] * fraction
     }
 
-    fn quantile(&self, share: f64) -> f64 {
+    fn sample_quantile(&self, share: f64) -> f64 {
         let wanted = self.total * (1.0 - share) as f32;
-        // The first bucket above whose lower end no more than the wanted ones lie.
+        // The highest bucket with more than the wanted samples at or above it.
         let i = self.above.iter().rposition(|&a| a > wanted).unwrap_or(0);
-        let part =
+        let fraction =
             if self.counts[i] > 0.0 { (self.above[i] - wanted) / self.counts[i] } else { 0.5 };
-        FIRST * ((i as f64 + f64::from(part) - 1.0) / PER_DOUBLING).exp2()
+        FIRST_BOUND * ((i as f64 + f64::from(fraction) - 1.0) / PER_DOUBLING).exp2()
     }
 }
 
-/// Returns a time's place on the scale of buckets, its fraction included.
+/// Returns the bucket of a latency, with its position in the bucket as the fraction.
 fn bucket(secs: f64) -> f64 {
-    let at = 1.0 + (secs.max(1e-6) / FIRST).log2() * PER_DOUBLING;
-    at.clamp(0.0, BUCKETS as f64 - 1e-6)
+    let position = 1.0 + (secs.max(1e-6) / FIRST_BOUND).log2() * PER_DOUBLING;
+    position.clamp(0.0, BUCKETS as f64 - 1e-6)
 }
