--- a/crates/honeypulley_policy/src/balance.rs
+++ b/crates/honeypulley_policy/src/balance.rs
@@ -141,9 +141,9 @@
     /// Whether its recovery from the last failure was announced to the other data halls.
     recovery_announced: bool,
     added: Time,
-    /// When a box of this data hall last sent it a request, as far as is known.
+    /// Last known send to it by a box of this data hall.
     last_sent: Option<Time>,
-    /// When it last answered a box of this data hall successfully, as far as is known.
+    /// Last known successful answer to a box of this data hall.
     last_success: Option<Time>,
     /// Time of its last failure.
     last_failure: Option<Time>,
@@ -175,7 +175,7 @@
     target: Duration,
     /// Time limit of the attempt, if there is one.
     left: Option<Duration>,
-    /// Whether it had to queue at the start, so that its age is weak evidence.
+    /// Whether it had to queue at the start, which makes its age weak evidence.
     queued: bool,
     /// Likelihood ratio (unhealthy to healthy) announced while it was in flight.
     announced: f64,
@@ -357,8 +357,8 @@
     /// Adds or updates a list entry.
     pub fn set_upstream(&mut self, l: Listed, now: Time) {
         let name = l.member.name.clone();
-        let former = self.listed.get(&name).map(Listed::life).filter(|&id| id != l.life());
-        if let Some(k) = former.and_then(|id| self.by_id.get(&id).copied()) {
+        let previous = self.listed.get(&name).map(Listed::life).filter(|&id| id != l.life());
+        if let Some(k) = previous.and_then(|id| self.by_id.get(&id).copied()) {
             self.end_incarnation(k);
         }
         if let Some(&k) = self.by_name.get(&l.member.service) {
--- a/crates/honeypulley_policy/src/balance/admit.rs
+++ b/crates/honeypulley_policy/src/balance/admit.rs
@@ -22,11 +22,13 @@
 const STANDING_SHARE: f64 = 0.5;
 /// Expected latency above which requests are rejected in a standing queue, in targets.
 const STANDING_TARGETS: f64 = 0.65;
-/// Share of the time beyond the target that is allowed on routes with longer time limits.
+/// Allowed share of the time beyond the target, on routes with longer time limits.
 ///
 /// Such routes still benefit from late answers.
 const LATE_SHARE: f64 = 0.5;
-/// Share of the allowed latency for retries in a standing queue: retries are rejected first.
+/// Share of the allowed latency for retries in a standing queue.
+///
+/// Retries are rejected first.
 const RETRY_SHARE: f64 = 0.5;
 /// Bounds of the `Retry-After` of a rejected request.
 pub(super) const RETRY_AFTER_BOUNDS: (Duration, Duration) =
--- a/crates/honeypulley_policy/src/balance/choice.rs
+++ b/crates/honeypulley_policy/src/balance/choice.rs
@@ -20,7 +20,9 @@
 const WAIT_LOSS: f64 = 0.8;
 /// Loss of sharing an upstream at full slots; some upstreams slow down under concurrency.
 const CONCURRENCY_LOSS: f64 = 0.03;
-/// Loss of the longer network path to another data hall, without the cost of the bytes sent.
+/// Loss of the longer network path to another data hall.
+///
+/// The cost of the bytes sent is added to it.
 const CROSS_HALL_LOSS: f64 = 0.015;
 /// Loss of an upstream that is still slow after its start.
 const WARMUP_LOSS: f64 = 0.06;
@@ -31,7 +33,7 @@
 const TIE_MARGIN: f64 = 0.06;
 /// Time constant by which the reported load of other data halls decays.
 const LOAD_DECAY: Duration = Duration::from_millis(500);
-/// Latency quantile that must fit into the remaining time for a send to be in time.
+/// Latency quantile that the remaining time must allow for a send.
 const IN_TIME_QUANTILE: f64 = 0.3;
 /// `Retry-After` when no upstream is available.
 const NO_UPSTREAM_WAIT: Duration = Duration::from_millis(500);
--- a/crates/honeypulley_policy/src/balance/doubt.rs
+++ b/crates/honeypulley_policy/src/balance/doubt.rs
@@ -222,7 +222,7 @@
         self.peers.iter_mut().find(|p| p.from == from)
     }
 
-    /// Returns the number of attempts that other boxes of this data hall have in flight.
+    /// Returns the number of attempts in flight from other boxes of this data hall.
     pub(super) fn peers_in_flight(&self, now: Time) -> f64 {
         let fresh = self.peers.iter().filter(|p| now.since(p.since) < IN_FLIGHT_TTL);
         fresh.map(|p| f64::from(p.count)).sum()
--- a/crates/honeypulley_policy/src/balance/failing.rs
+++ b/crates/honeypulley_policy/src/balance/failing.rs
@@ -9,7 +9,7 @@
 
 /// Window in which failures are counted, equal to the window of the floor.
 const WINDOW: Duration = Duration::from_secs(2);
-/// Time for which a service counts as failing after a detection, equal to the floor's window.
+/// Time for which a detection lasts, equal to the window of the floor.
 const HOLD_TIME: Duration = Duration::from_secs(2);
 /// Time constant of the request rate that failures are compared with.
 const RATE_TIME: Duration = Duration::from_secs(4);
--- a/crates/honeypulley_policy/src/balance/floor.rs
+++ b/crates/honeypulley_policy/src/balance/floor.rs
@@ -34,8 +34,8 @@
 
 impl FloorRule {
     fn required_share(&self) -> f64 {
-        let spread = self.share * (1.0 - self.share) / self.upstreams.max(1) as f64;
-        self.share + MARGIN + spread.sqrt()
+        let variance = self.share * (1.0 - self.share) / self.upstreams.max(1) as f64;
+        self.share + MARGIN + variance.sqrt()
     }
 }
 
--- a/crates/honeypulley_policy/src/balance/heard.rs
+++ b/crates/honeypulley_policy/src/balance/heard.rs
@@ -92,9 +92,9 @@
         }
     }
 
-    /// Records how many attempts a box of this data hall has in flight since `at`.
+    /// Records the number of attempts in flight from a box of this data hall.
     ///
-    /// Returns its previous entry.
+    /// They are in flight since `at`. Returns the previous entry.
     fn apply_open(
         &mut self,
         from: NameId,
--- a/crates/honeypulley_policy/src/balance/illness.rs
+++ b/crates/honeypulley_policy/src/balance/illness.rs
@@ -15,9 +15,10 @@
 
 /// Likelihood ratio (unhealthy to healthy) from which an attempt is announced as overdue.
 pub const OVERDUE_RATIO: f64 = 4.0;
-/// Likelihood ratio from which an attempt is announced as hung and counts as a failure.
+/// Likelihood ratio from which an attempt is announced as hung.
 ///
-/// With a prior probability of one in ten, the odds of being unhealthy are then three to one.
+/// It then counts as a failure. With a prior probability of one in ten, the odds of being
+/// unhealthy are three to one.
 pub const HUNG_RATIO: f64 = 25.0;
 /// Share of slower answers below which an unanswered attempt counts as hung.
 pub const HUNG_SURVIVAL: f64 = 0.03;
--- a/crates/honeypulley_policy/src/balance/learn.rs
+++ b/crates/honeypulley_policy/src/balance/learn.rs
@@ -27,11 +27,11 @@
 ///
 /// Either the upstream is slow or the request is long.
 const LATE_RATIO: f64 = 3.0;
-/// Share of shed requests of a service from which shedding counts as common to all upstreams.
+/// Share of shed requests from which all upstreams of a service are shedding.
 ///
 /// Shedding then causes no probe backoff.
 const COMMON_SHED_SHARE: f64 = 0.1;
-/// Share of an attempt's time limit after which a failure answer counts as a timeout.
+/// Share of its time limit after which an attempt's failure counts as a timeout.
 const EXPIRED_SHARE: f64 = 0.95;
 
 impl Balancer {
@@ -238,8 +238,8 @@
         if shed_share < COMMON_SHED_SHARE {
             self.update_failures(what, now);
         }
-        let (well, sick) = what.likelihood();
-        self.shared.weigh(well.max(shed_share), sick.max(shed_share), now);
+        let (healthy, unhealthy) = what.likelihood();
+        self.shared.weigh(healthy.max(shed_share), unhealthy.max(shed_share), now);
     }
 
     /// Resets the last send time, as the last request did not reach the upstream.
--- a/crates/honeypulley_policy/src/balance/named.rs
+++ b/crates/honeypulley_policy/src/balance/named.rs
@@ -34,12 +34,14 @@
 const MIN_HALL_RATE: f64 = 0.5;
 /// Maximum number of data halls that share one limit.
 const MAX_HALLS: usize = 4;
-/// Random number of extra tokens required, so that boxes don't all take the first one.
+/// Maximum number of extra tokens that a box requires, by its random offset.
+///
+/// The boxes then don't all take the first token at once.
 const OFFSET_TOKENS: f64 = 0.75;
-/// Tokens that less urgent requests must leave when all upstreams of a service are limited.
+/// Tokens reserved for urgent requests when all upstreams of a service are limited.
 const URGENT_RESERVE: f64 = 0.5;
 
-/// Rate limit of one upstream as known to this box, for operators and the log.
+/// Rate limit of one upstream, as known to this box.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NamedLimit {
     /// Requests per second that it accepts from all boxes.
@@ -195,8 +197,8 @@
 
     /// Returns the current limits for a newly started box.
     pub(super) fn limits_in_force(&self, now: Time) -> impl Iterator<Item = News> {
-        let all = self.limits.entries.iter().filter(move |(_, n)| n.is_in_force(now));
-        all.map(|(&upstream, n)| News::Limit { upstream, rate: Some(n.rate as f32) })
+        let current = self.limits.entries.iter().filter(move |(_, n)| n.is_in_force(now));
+        current.map(|(&upstream, n)| News::Limit { upstream, rate: Some(n.rate as f32) })
     }
 
     /// Filters out upstreams whose rate limit is exhausted.
@@ -215,15 +217,15 @@
         let division = self.division(s, now);
         let boxes = self.hall_boxes;
         self.limits.buckets.set_scope(Scope { boxes, halls: 1, alone: self.isolated });
-        let mut left = Vec::with_capacity(open.len());
+        let mut allowed = Vec::with_capacity(open.len());
         let mut wait: Option<Duration> = None;
         for k in open {
             match self.check_limit(k, ask, division, now) {
-                Ok(()) => left.push(k),
+                Ok(()) => allowed.push(k),
                 Err(w) => wait = Some(wait.map_or(w, |least| least.min(w))),
             }
         }
-        (left, wait)
+        (allowed, wait)
     }
 
     /// Checks an upstream's limit; returns the time to wait if it is exhausted.
@@ -244,11 +246,13 @@
             return Err(Duration::from_secs_f64(1.0 / n.rate.max(MIN_RATE)));
         }
         let is_deferrable = division == Division::Halls && (ask.repeatable || ask.priority > 0);
-        let left = if is_deferrable { URGENT_RESERVE } else { 0.0 };
-        self.limits.buckets.room(id, 1.0 + offset * OFFSET_TOKENS + left, now)
+        let reserve = if is_deferrable { URGENT_RESERVE } else { 0.0 };
+        self.limits.buckets.room(id, 1.0 + offset * OFFSET_TOKENS + reserve, now)
     }
 
-    /// Returns this box's random offset (0 to 1) at an upstream, redrawn after each send.
+    /// Returns this box's random offset (0 to 1) at an upstream.
+    ///
+    /// It is redrawn after each send there.
     pub(super) fn random_offset(&self, u: &Upstream) -> f64 {
         let last_sent = u.last_sent.unwrap_or(u.added).as_micros();
         fastrand::Rng::with_seed(self.seed ^ u.id.0 ^ last_sent).f64()
@@ -289,7 +293,9 @@
         own as f64 / total.max(1) as f64
     }
 
-    /// Takes a token for a send to a limited upstream and announces it to this data hall.
+    /// Takes a token for a send to a limited upstream.
+    ///
+    /// Announces it to this data hall.
     pub(super) fn count_send(&mut self, k: UpstreamKey, now: Time) {
         let Some(id) = self.upstreams.get(k).map(|u| u.id) else { return };
         if self.limits.in_force(id, now).is_some() {
--- a/crates/honeypulley_policy/src/balance/news.rs
+++ b/crates/honeypulley_policy/src/balance/news.rs
@@ -77,7 +77,7 @@
         /// Number of retries.
         sum: u16,
     },
-    /// A retry was denied, since the budget was exhausted as far as the sender knows.
+    /// A retry was denied, as the sender took the budget to be exhausted.
     Denied {
         /// Its service.
         service: NameId,
--- a/crates/honeypulley_policy/src/balance/retry.rs
+++ b/crates/honeypulley_policy/src/balance/retry.rs
@@ -5,13 +5,15 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Usable share of the fleet's budget, as boxes learn of each other's retries with a delay.
+/// Usable share of the fleet's budget.
+///
+/// Boxes learn of each other's retries with a delay.
 const USABLE_SHARE: f64 = 0.8;
-/// Share of the budget open to hedges whose first attempt is likely to be answered.
+/// Share of the budget for hedges whose first attempt will likely be answered.
 const HEDGE_SHARE: f64 = 0.4;
-/// Added to that share in proportion to the probability that the first attempt stays unanswered.
+/// Addition to that share if the first attempt will certainly stay unanswered.
 const HEDGE_EXTRA: f64 = 0.35;
-/// Share of the budget that one box may use while it is in touch with its peers.
+/// Share of the budget that one box in touch with its peers may use.
 const BOX_SHARE: f64 = 0.5;
 
 /// Interval at which a box announces its traffic while its retries are denied.
@@ -52,7 +54,9 @@
 pub enum Past {
     /// There were none, as the fleet starts for the first time.
     Empty,
-    /// Unknown, as after a restart of all boxes, until a box that stayed up announces them.
+    /// Unknown, as after a restart of all boxes.
+    ///
+    /// A box that stayed up may announce them.
     #[default]
     Unknown,
 }
@@ -143,7 +147,9 @@
         self.knows_window(rule, now).then(|| u16::try_from(spent).unwrap_or(u16::MAX))
     }
 
-    /// Applies the retries of all boxes, announced by a peer that was up for the whole window.
+    /// Applies the retries of all boxes, announced by a peer.
+    ///
+    /// That peer was up for the whole window.
     pub(super) fn inherit(&mut self, rule: &RetryRule, sum: u16, now: Time) {
         if self.knows_window(rule, now) {
             return;
--- a/crates/honeypulley_policy/src/balance/signals.rs
+++ b/crates/honeypulley_policy/src/balance/signals.rs
@@ -15,7 +15,9 @@
 
 /// Maximum number of unlisted incarnations whose declarations are kept.
 const MAX_UNLISTED: usize = 1_024;
-/// Random extension of a backoff, as a share of it, so that boxes don't return all at once.
+/// Random extension of a backoff, as a share of it.
+///
+/// Otherwise boxes would return all at once.
 const BACKOFF_SPREAD: f64 = 0.1;
 
 /// Declarations of one incarnation of an upstream.
@@ -144,7 +146,9 @@
         is_new.then_some(u.name.as_str())
     }
 
-    /// Returns the announced shutdowns that the list does not show, for a newly started box.
+    /// Returns the announced shutdowns that the list does not show.
+    ///
+    /// They are sent to a newly started box.
     pub(super) fn announced_shutdowns(&self) -> impl Iterator<Item = News> {
         let unlisted = self.upstreams.values().filter(|u| u.declared.leaving && !u.leaving);
         unlisted.map(|u| News::Leaving { upstream: u.id })
--- a/crates/honeypulley_policy/src/balance/sizes.rs
+++ b/crates/honeypulley_policy/src/balance/sizes.rs
@@ -3,7 +3,7 @@
 use crate::collector::NameId;
 use std::collections::BTreeMap;
 
-/// Bytes assumed for a large and for any other answer, before a route has samples.
+/// Bytes assumed for a large and for any other answer, without samples.
 ///
 /// The traffic profiles of the deployments have 90 kB for downloads and 0.4 to 5 kB for others.
 const PRIOR_LARGE: f64 = 90_000.0;
--- a/crates/honeypulley_policy/src/balance/trial.rs
+++ b/crates/honeypulley_policy/src/balance/trial.rs
@@ -34,7 +34,7 @@
 /// The floor includes a recovered upstream after two seconds, so it must be probed within four.
 const FAILING_BACKOFF: ProbeBackoff =
     ProbeBackoff { base: Duration::from_secs(2), tolerated: 2, doublings: 1 };
-/// Last share of the idle time, over which the probes of different boxes are spread.
+/// Last share of the idle time, in which boxes spread their probes.
 ///
 /// Otherwise boxes would probe the same upstream at once, before they learn of each other's
 /// probes.
@@ -94,7 +94,7 @@
 }
 
 impl Balancer {
-    /// Returns an upstream of this data hall that has been idle for too long, if there is one.
+    /// Returns an upstream of this data hall that has been idle for too long.
     pub(super) fn probe_target(
         &mut self,
         open: &[UpstreamKey],
@@ -123,8 +123,9 @@
             && !self.has_overdue(k, now)
     }
 
-    /// Returns whether an upstream has been idle long enough, with a random offset for this
-    /// box.
+    /// Returns whether an upstream has been idle long enough for this box.
+    ///
+    /// A random offset spreads the probes of different boxes.
     fn has_idled(&self, u: &Upstream, idle: Duration, max_idle: Duration) -> bool {
         if idle <= max_idle.mul_f64(1.0 - OFFSET_SHARE) {
             return false;
--- a/crates/honeypulley_policy/src/balance/work.rs
+++ b/crates/honeypulley_policy/src/balance/work.rs
@@ -12,7 +12,9 @@
 const MAX_SAMPLES: f32 = 400.0;
 /// Weight of the prior, in samples.
 const PRIOR_WEIGHT: f64 = 6.0;
-/// Shape of the prior's log-logistic tail: one answer in 28 takes three times the median.
+/// Shape of the prior's log-logistic tail.
+///
+/// One answer in 28 takes three times the median.
 const PRIOR_SHAPE: f64 = 3.0;
 /// Samples from which the measured median is used for the prior.
 const MIN_SAMPLES: f32 = 12.0;
@@ -106,7 +108,7 @@
     }
 }
 
-/// Returns the bucket of a latency, with its position in the bucket as the fraction.
+/// Returns the bucket of a latency, with the position inside it as fraction.
 fn bucket(secs: f64) -> f64 {
     let position = 1.0 + (secs.max(1e-6) / FIRST_BOUND).log2() * PER_DOUBLING;
     position.clamp(0.0, BUCKETS as f64 - 1e-6)
--- a/crates/honeypulley_policy/tests/balance/choice.rs
+++ b/crates/honeypulley_policy/tests/balance/choice.rs
@@ -1,4 +1,4 @@
-//! Choice by expected loss: what one box picks, learns and tells.
+//! Selection by expected loss, beliefs and announcements of one box.
 
 use crate::{RULE, ask, balancer, failure, listed, send};
 use honeypulley_policy::balance::{Balancer, News};
@@ -12,7 +12,7 @@
 use std::collections::BTreeMap;
 
 #[test]
-fn one_failure_elsewhere_turns_the_next_request_away() {
+fn a_failure_announced_by_a_peer_diverts_the_next_request() {
     let mut b = balancer(4);
     b.heard(NameId::of("other"), failure("u1"), Time::from_millis(5));
     let picks = send(&mut b, 100, 10, false);
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_failed_upstream_gets_its_work_back() {
+fn a_failed_upstream_gets_requests_again() {
     let mut b = balancer(4);
     b.heard(NameId::of("other"), failure("u1"), Time::from_millis(5));
     let picks = send(&mut b, 400, 60_000, true);
@@ -28,13 +28,13 @@
 }
 
 #[test]
-fn failures_raise_the_chance_and_successes_lower_it() {
+fn failures_raise_the_probability_and_successes_lower_it() {
     let at = Time::from_millis(1_000);
     let mut belief = Belief::new(Time::ZERO);
     let prior = belief.chance(at);
     belief.observe(Observation::Failure, at);
     let failed = belief.chance(at);
-    assert!(failed > 0.5, "one failure at a base rate of 1.2 in 100: {failed}");
+    assert!(failed > 0.5, "one failure at a base rate of 1.2%: {failed}");
     let later = Time::from_millis(3_000);
     belief.observe(Observation::Success, later);
     belief.observe(Observation::Success, later);
@@ -45,12 +45,12 @@
 }
 
 #[test]
-fn one_good_answer_in_a_spell_does_not_clear_an_upstream() {
+fn one_success_during_a_fault_does_not_clear_an_upstream() {
     let mut belief = Belief::new(Time::ZERO);
     belief.observe(Observation::Failure, Time::ZERO);
     belief.observe(Observation::Success, Time::from_millis(1_000));
     let soon = belief.chance(Time::from_millis(1_000));
-    assert!(soon > 0.5, "a quarter of the answers in a spell are good: {soon}");
+    assert!(soon > 0.5, "a quarter of the answers during a fault are successful: {soon}");
     for i in 0..20 {
         belief.observe(Observation::Success, Time::from_millis(6_000 + i * 1_000));
     }
@@ -58,22 +58,29 @@
     assert!(proven < 0.05, "{proven}");
 }
 
-/// Shares of upstreams that were sick so long after a failure, by the deployments' logs.
+/// Share of upstreams still unhealthy some time after a failure, from production logs.
 #[rstest]
 #[case(1_000, 0.73, 0.95)]
 #[case(2_000, 0.60, 0.80)]
 #[case(4_000, 0.35, 0.50)]
 #[case(6_000, 0.19, 0.33)]
 #[case(30_000, 0.10, 0.20)]
-fn a_spell_ends_as_it_was_measured(#[case] ms: u64, #[case] least: f64, #[case] most: f64) {
+fn recovery_follows_the_measured_distribution(
+    #[case] ms: u64,
+    #[case] least: f64,
+    #[case] most: f64,
+) {
     let mut belief = Belief::new(Time::ZERO);
     belief.observe(Observation::Failure, Time::ZERO);
     let sick = belief.chance(Time::from_millis(ms));
-    assert!((least..=most).contains(&sick), "{sick} after {ms} ms");
+    assert!(
+        (least..=most).contains(&sick),
+        "probability of being unhealthy is {sick} after {ms} ms"
+    );
 }
 
 #[test]
-fn time_in_small_steps_moves_a_belief_as_one_step_does() {
+fn a_belief_evolves_alike_in_small_and_large_steps() {
     let mut steps = Belief::new(Time::ZERO);
     steps.observe(Observation::Failure, Time::ZERO);
     let whole = steps;
@@ -84,9 +91,12 @@
     assert!((steps.chance(at) - whole.chance(at)).abs() < 1e-6);
 }
 
-/// Sends one request to a box's only upstream, and fails it after `took` ms.
+/// Sends a request to the only upstream and fails it after `took` ms.
+///
+/// Returns the probability that the upstream is unhealthy.
 fn fail_after(b: &mut Balancer, from: u64, took: u64) -> f64 {
-    let pick = b.pick(&ask(b, false), &[], Time::from_millis(from)).expect("there is one");
+    let pick =
+        b.pick(&ask(b, false), &[], Time::from_millis(from)).expect("an upstream is available");
     let end = Time::from_millis(from + took);
     b.answered(pick.attempt, false, end);
     b.finish(pick.attempt, Outcome::Whole, end);
@@ -96,40 +106,48 @@
 #[rstest]
 #[case::at_once(2, true)]
 #[case::after_work(250, false)]
-fn a_failure_after_the_usual_work_says_little(#[case] took: u64, #[case] doubted: bool) {
+fn a_failure_after_the_usual_service_time_is_weak_evidence(
+    #[case] took: u64,
+    #[case] is_suspect: bool,
+) {
     let mut b = balancer(1);
     let ask = ask(&b, true);
     for i in 0..30 {
-        let pick = b.pick(&ask, &[], Time::from_millis(i * 300)).expect("there is one");
+        let pick = b.pick(&ask, &[], Time::from_millis(i * 300)).expect("an upstream is available");
         let end = Time::from_millis(i * 300 + 240);
         b.answered(pick.attempt, true, end);
         b.finish(pick.attempt, Outcome::Whole, end);
     }
     let sick = fail_after(&mut b, 9_000, took);
-    assert_eq!(sick > 0.5, doubted, "{sick}");
+    assert_eq!(sick > 0.5, is_suspect, "{sick}");
 }
 
 #[test]
-fn a_box_that_starts_takes_over_beliefs_but_not_against_its_own() {
+fn a_started_box_adopts_beliefs_only_where_it_has_none() {
     let mut old = balancer(3);
     send(&mut old, 300, 10, false);
     old.heard(NameId::of("other"), failure("u1"), Time::from_millis(3_000));
-    let told = old.beliefs(Time::from_millis(3_010));
-    assert_eq!(told.len(), 3, "{told:?}");
+    let announced = old.beliefs(Time::from_millis(3_010));
+    assert_eq!(announced.len(), 3, "{announced:?}");
     let mut new = balancer(3);
     new.heard(NameId::of("other"), failure("u2"), Time::from_millis(5));
-    told.into_iter().for_each(|n| {
+    announced.into_iter().for_each(|n| {
         new.heard(NameId::of("old"), n, Time::from_millis(10));
     });
     let rows = new.status(Time::from_millis(10));
-    let sick = |name: &str| rows.iter().find(|r| r.upstream == name).expect("listed").sick;
+    let sick =
+        |name: &str| rows.iter().find(|r| r.upstream == name).expect("upstream is listed").sick;
     assert!(sick("u0") < 0.1, "{}", sick("u0"));
     assert!(sick("u1") > 0.5, "{}", sick("u1"));
-    assert!(sick("u2") > 0.8, "what it heard itself stands: {}", sick("u2"));
+    assert!(
+        sick("u2") > 0.8,
+        "a box keeps the belief from announcements it has received: {}",
+        sick("u2")
+    );
 }
 
 #[test]
-fn a_box_alone_that_reaches_no_upstream_holds_it_against_its_path_alone() {
+fn an_unreachable_upstream_becomes_suspect_only_by_a_second_box() {
     let mut b = balancer(3);
     let unreachable = News::Seen { upstream: NameId::of("u1"), what: Observation::Unreachable };
     for i in 0..5 {
@@ -139,11 +157,11 @@
         let rows = b.status(Time::from_millis(600));
         rows.iter().find(|r| r.upstream == name).map(|r| r.sick)
     };
-    assert_eq!(sick(&b, "u1"), sick(&b, "u2"), "one box alone proves nothing");
+    assert_eq!(sick(&b, "u1"), sick(&b, "u2"), "a single box is not corroborated");
     b.heard(NameId::of("cut-off"), unreachable, Time::from_millis(4_000));
     b.heard(NameId::of("another"), unreachable, Time::from_millis(4_100));
     let picks = send(&mut b, 30, 4_200, false);
-    assert_eq!(picks.get("u1"), None, "two boxes bear each other out: {picks:?}");
+    assert_eq!(picks.get("u1"), None, "two boxes corroborate each other: {picks:?}");
 }
 
 #[rstest]
@@ -157,26 +175,26 @@
 }
 
 #[test]
-fn an_upstream_gone_from_the_list_gets_no_new_work() {
+fn an_upstream_removed_from_the_list_gets_no_new_requests() {
     let mut b = balancer(1);
     b.remove_upstream("u0");
-    let refused = b.pick(&ask(&b, true), &[], Time::ZERO).expect_err("none is left");
+    let refused = b.pick(&ask(&b, true), &[], Time::ZERO).expect_err("no upstream is listed");
     assert_eq!(refused.kind, RefusalKind::NoUpstream);
 }
 
 #[test]
-fn an_address_that_another_instance_has_is_not_asked_again() {
+fn a_misdirected_address_is_not_used_again() {
     let mut b = balancer(2);
     let ask = ask(&b, true);
-    let pick = b.pick(&ask, &[], Time::ZERO).expect("there are two");
-    let name = b.place(pick.upstream).expect("known").name.to_owned();
+    let pick = b.pick(&ask, &[], Time::ZERO).expect("two upstreams are available");
+    let name = b.place(pick.upstream).expect("upstream is known").name.to_owned();
     b.finish(pick.attempt, Outcome::Misdirected, Time::from_millis(1));
     let picks = send(&mut b, 50, 10, true);
     assert!(!picks.contains_key(&name), "{picks:?}");
 }
 
 #[test]
-fn entries_that_came_before_their_service_are_kept_for_it() {
+fn entries_listed_before_their_service_are_kept() {
     let mut b = Balancer::new("h", RULE, 7);
     b.set_upstream(listed("u0", "h", MemberState::Live), Time::ZERO);
     b.set_services(&[ServiceSpec::builder().name("s").build()], Time::ZERO);
@@ -184,20 +202,23 @@
 }
 
 #[test]
-fn own_data_hall_goes_first_until_it_is_full() {
+fn the_own_data_hall_is_preferred_until_it_is_full() {
     let mut b = balancer(1);
     b.set_upstream(listed("far", "elsewhere", MemberState::Live), Time::ZERO);
     let ask = ask(&b, true);
     let mut near = 0;
     for _ in 0..8 {
-        let pick = b.pick(&ask, &[], Time::ZERO).expect("there are two");
-        near += usize::from(b.place(pick.upstream).expect("known").name == "u0");
+        let pick = b.pick(&ask, &[], Time::ZERO).expect("two upstreams are available");
+        near += usize::from(b.place(pick.upstream).expect("upstream is known").name == "u0");
     }
-    assert!((3..=5).contains(&near), "{near} of 8 open ones stayed near its three slots");
+    assert!(
+        (3..=5).contains(&near),
+        "{near} of 8 requests went to the local upstream with three slots"
+    );
 }
 
 #[test]
-fn another_hall_that_says_an_upstream_is_well_is_believed() {
+fn a_recovery_announced_by_another_hall_is_believed() {
     let mut b = balancer(1);
     b.set_upstream(listed("far", "elsewhere", MemberState::Live), Time::ZERO);
     for name in ["far", "u0"] {
@@ -209,31 +230,33 @@
         );
     }
     let rows = b.status(Time::from_millis(30));
-    let sick = |name: &str| rows.iter().find(|r| r.upstream == name).expect("listed").sick;
+    let sick =
+        |name: &str| rows.iter().find(|r| r.upstream == name).expect("upstream is listed").sick;
     assert!(sick("far") < 0.2, "{}", sick("far"));
-    assert!(sick("u0") > 0.5, "the own hall goes by its own attempts: {}", sick("u0"));
+    assert!(sick("u0") > 0.5, "the upstream's own hall relies on its own attempts: {}", sick("u0"));
 }
 
 #[test]
-fn a_hall_says_once_that_its_upstream_is_well_again() {
+fn a_recovery_is_announced_once() {
     let mut b = balancer(1);
     b.heard(NameId::of("other"), failure("u0"), Time::from_millis(10));
     send(&mut b, 50, 3_000, true);
     let upstream = NameId::of("u0");
-    let told = b.take_news().into_iter().filter(|n| *n == News::Well { upstream }).count();
-    assert_eq!(told, 1);
+    let announced = b.take_news().into_iter().filter(|n| *n == News::Well { upstream }).count();
+    assert_eq!(announced, 1);
 }
 
-/// Has each of ten upstreams turn away those of its requests for which `sheds` says so, for
-/// four seconds, and returns the chances of sickness then.
+/// Has ten upstreams shed the requests selected by `sheds` for four seconds.
+///
+/// Returns the probability of being unhealthy for each.
 fn chances_after_sheds(sheds: impl Fn(&str, u64) -> bool) -> BTreeMap<String, f64> {
     let mut b = balancer(10);
     let ask = ask(&b, false);
     for i in 0..400 {
         let now = Time::from_millis(10 + i * 10);
         b.arrived(ask.service, now);
-        let pick = b.pick(&ask, &[], now).expect("there are upstreams");
-        let name = b.place(pick.upstream).expect("known").name.to_owned();
+        let pick = b.pick(&ask, &[], now).expect("upstreams are available");
+        let name = b.place(pick.upstream).expect("upstream is known").name.to_owned();
         if sheds(&name, i) {
             b.finish(pick.attempt, Outcome::NotRun, now);
         } else {
@@ -245,16 +268,18 @@
     status.into_iter().map(|s| (s.upstream, s.sick)).collect()
 }
 
-/// Each of 227 upstreams turned away 45 in 100 requests though it had room. All were doubted
-/// in turn, and 9 in 100 answers came late from the few that were not.
+/// Guards against suspecting upstreams for shedding that is common to all of them.
+///
+/// Each of 227 upstreams shed 45% of its requests although it had capacity. All became suspect
+/// in turn, and 9% of the answers were late, from the few upstreams that were not.
 #[test]
-fn requests_that_all_upstreams_turn_away_put_none_of_them_in_doubt() {
+fn shedding_by_all_upstreams_makes_none_of_them_suspect() {
     let sick = chances_after_sheds(|_, i| i % 9 < 4);
     assert!(sick.values().all(|&c| c < 0.35), "{sick:?}");
 }
 
 #[test]
-fn an_upstream_that_alone_turns_requests_away_is_doubted() {
+fn shedding_by_one_upstream_makes_it_suspect() {
     let sick = chances_after_sheds(|name, _| name == "u3");
     let others = sick.iter().filter(|(n, _)| *n != "u3").map(|(_, &c)| c).fold(0.0, f64::max);
     assert!(sick["u3"] > 5.0 * others, "{sick:?}");
--- a/crates/honeypulley_policy/tests/balance/halls.rs
+++ b/crates/honeypulley_policy/tests/balance/halls.rs
@@ -1,8 +1,9 @@
-//! Which requests leave their data hall, by what their answers weigh.
+//! Requests sent to other data halls, depending on the size of their answers.
 //!
-//! Pattern: downloads of 90 kB on a service of five or six upstreams a hall, a third of whose
-//! slots are busy; at 31 requests a MB that crosses, each that leaves costs 2.8 of the one
-//! that it is worth. Of 72 a second 15 left while some near ones were in doubt.
+//! Models downloads of 90 kB on a service with five or six upstreams per data hall and a third
+//! of the slots in use. At 31 requests per MB sent across data halls, each download that leaves
+//! costs 2.8 requests to gain one. Of 72 downloads per second 15 left while some local
+//! upstreams were suspect.
 
 use crate::{RULE, ask, listed, report_load};
 use honeypulley_policy::balance::{Balancer, News, Past};
@@ -15,18 +16,20 @@
 use rstest::rstest;
 use std::time::Duration;
 
-/// Requests a MB that leaves the hall, as `deploy/box.ini` states it.
-const PRICE: f64 = 15.0;
-/// Lengths of a download, of a page and of a receipt, in bytes.
+/// Cost, in requests, of a megabyte sent across data halls, as in `deploy/box.ini`.
+const TRANSFER_COST: f64 = 15.0;
+/// Answer sizes of a download and a page, in bytes.
 const DOWNLOAD: u64 = 90_000;
 const PAGE: u64 = 1_500;
 
-/// Time that a download takes.
-const WORK: Duration = Duration::from_millis(300);
+/// Duration of a download.
+const DOWNLOAD_TIME: Duration = Duration::from_millis(300);
 
-/// A box before five upstreams of its hall, `near0` and so on, and five of another.
-fn two_halls(price: f64) -> Balancer {
-    let mut b = Balancer::new("h", RULE, 7).with_past(Past::Empty).with_hall_price(price);
+/// Returns a box with five local upstreams, `near0` to `near4`.
+///
+/// Five more, `far0` to `far4`, are in another data hall.
+fn two_halls(cost: f64) -> Balancer {
+    let mut b = Balancer::new("h", RULE, 7).with_past(Past::Empty).with_hall_price(cost);
     b.set_services(&[ServiceSpec::builder().name("s").build()], Time::ZERO);
     for i in 0..5 {
         b.set_upstream(listed(&format!("near{i}"), "h", MemberState::Live), Time::ZERO);
@@ -35,14 +38,15 @@
     b
 }
 
-/// Sends requests whose answers are `bytes` long from `from` ms on, 20 ms apart; returns how
-/// many of them left the hall.
-fn leave(b: &mut Balancer, ask: &Ask, bytes: u64, from: u64) -> usize {
+/// Sends 60 requests, 20 ms apart, with answers of `bytes`; returns how many left the data
+/// hall.
+fn count_leaving(b: &mut Balancer, ask: &Ask, bytes: u64, from: u64) -> usize {
     let mut left = 0;
     for i in 0..60 {
         let now = Time::from_millis(from + i * 20);
-        let pick = b.pick(ask, &[], now).expect("there are upstreams");
-        left += usize::from(b.place(pick.upstream).expect("known").name.starts_with("far"));
+        let pick = b.pick(ask, &[], now).expect("upstreams are available");
+        left +=
+            usize::from(b.place(pick.upstream).expect("upstream is known").name.starts_with("far"));
         b.answered(pick.attempt, true, now);
         b.sized(pick.attempt, bytes);
         b.finish(pick.attempt, Outcome::Whole, now);
@@ -50,8 +54,8 @@
     left
 }
 
-/// Puts all near upstreams in doubt, as when each has just failed a request.
-fn doubt(b: &mut Balancer, at: u64) {
+/// Makes all local upstreams suspect, as if each had just failed a request.
+fn suspect_local(b: &mut Balancer, at: u64) {
     for i in 0..5 {
         let upstream = NameId::of(&format!("near{i}"));
         let news = News::Seen { upstream, what: Observation::Failure };
@@ -59,61 +63,65 @@
     }
 }
 
-/// An upstream that is ill is worth leaving for a page, not for a download.
+/// Pages leave the data hall to avoid a suspect upstream; downloads don't.
 #[rstest]
 #[case::download(DOWNLOAD, 0, 0)]
 #[case::page(PAGE, 20, 60)]
-fn what_is_long_stays(#[case] bytes: u64, #[case] least: usize, #[case] most: usize) {
-    let mut b = two_halls(PRICE);
+fn large_answers_stay_in_their_data_hall(
+    #[case] bytes: u64,
+    #[case] least: usize,
+    #[case] most: usize,
+) {
+    let mut b = two_halls(TRANSFER_COST);
     let ask = Ask { bulky: bytes == DOWNLOAD, ..ask(&b, true) };
-    leave(&mut b, &ask, bytes, 6_000);
-    doubt(&mut b, 8_000);
-    let left = leave(&mut b, &ask, bytes, 8_010);
-    assert!((least..=most).contains(&left), "{left} of 60 left");
+    count_leaving(&mut b, &ask, bytes, 6_000);
+    suspect_local(&mut b, 8_000);
+    let left = count_leaving(&mut b, &ask, bytes, 8_010);
+    assert!((least..=most).contains(&left), "{left} of 60 requests left the data hall");
 }
 
-/// What a route's answers weigh is learnt from them, whatever its kind says.
+/// Answer sizes are learned by route, and override the prior for large answers.
 #[test]
-fn the_length_of_answers_is_learnt() {
-    let mut b = two_halls(PRICE);
+fn answer_sizes_are_learned() {
+    let mut b = two_halls(TRANSFER_COST);
     let ask = Ask { bulky: true, ..ask(&b, true) };
     for n in 0..4 {
-        leave(&mut b, &ask, PAGE, 6_000 + n * 1_500);
+        count_leaving(&mut b, &ask, PAGE, 6_000 + n * 1_500);
     }
-    doubt(&mut b, 13_000);
-    let left = leave(&mut b, &ask, PAGE, 13_010);
-    assert!(left >= 20, "{left} of 60 left: answers of 1.5 kB cost little");
+    suspect_local(&mut b, 13_000);
+    let left = count_leaving(&mut b, &ask, PAGE, 13_010);
+    assert!(left >= 20, "{left} of 60 requests left the data hall, with answers of 1.5 kB");
 }
 
-/// Where bytes cost nothing, a download goes where it is served best.
+/// With a low transfer cost, downloads leave the data hall like other requests.
 #[test]
-fn a_download_leaves_where_bytes_cost_little() {
+fn downloads_leave_when_transfers_are_cheap() {
     let mut b = two_halls(1.0);
     let ask = Ask { bulky: true, ..ask(&b, true) };
-    leave(&mut b, &ask, DOWNLOAD, 6_000);
-    doubt(&mut b, 8_000);
-    assert!(leave(&mut b, &ask, DOWNLOAD, 8_010) >= 20);
+    count_leaving(&mut b, &ask, DOWNLOAD, 6_000);
+    suspect_local(&mut b, 8_000);
+    assert!(count_leaving(&mut b, &ask, DOWNLOAD, 8_010) >= 20);
 }
 
-/// A hall without room still hands its downloads on: a queue of several aims costs more.
+/// Downloads leave a full data hall, since a long queue costs more.
 #[test]
-fn a_download_leaves_a_hall_without_room() {
-    let mut b = two_halls(PRICE);
+fn downloads_leave_a_full_data_hall() {
+    let mut b = two_halls(TRANSFER_COST);
     let ask = Ask { bulky: true, ..ask(&b, true) };
     for n in 0..20 {
         let now = Time::from_millis(6_000 + n * 400);
-        let pick = b.pick(&ask, &[], now).expect("there are upstreams");
-        let later = now + WORK;
+        let pick = b.pick(&ask, &[], now).expect("upstreams are available");
+        let later = now + DOWNLOAD_TIME;
         b.answered(pick.attempt, true, later);
         b.finish(pick.attempt, Outcome::Whole, later);
     }
     let now = Time::from_millis(14_000);
-    let near: Vec<_> = (0..40).filter_map(|_| b.pick(&ask, &[], now).ok()).collect();
-    for p in &near {
-        if b.place(p.upstream).expect("known").name.starts_with("near") {
+    let picks: Vec<_> = (0..40).filter_map(|_| b.pick(&ask, &[], now).ok()).collect();
+    for p in &picks {
+        if b.place(p.upstream).expect("upstream is known").name.starts_with("near") {
             report_load(&mut b, p, 30.0, now);
         }
     }
-    let pick = b.pick(&ask, &[], now).expect("there are upstreams");
-    assert!(b.place(pick.upstream).expect("known").name.starts_with("far"));
+    let pick = b.pick(&ask, &[], now).expect("upstreams are available");
+    assert!(b.place(pick.upstream).expect("upstream is known").name.starts_with("far"));
 }
--- a/crates/honeypulley_policy/tests/balance/main.rs
+++ b/crates/honeypulley_policy/tests/balance/main.rs
@@ -1,4 +1,4 @@
-//! One box before upstreams called `u0` and so on: what it picks, learns and tells.
+//! Tests of one box with upstreams `u0`, `u1` and so on.
 
 mod budget;
 mod choice;
@@ -20,10 +20,10 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Budget of these tests: a fifth, and ten sends in ten seconds.
+/// Retry budget of a fifth of the requests and ten sends in ten seconds.
 const RULE: RetryRule = RetryRule { ratio: 0.2, slack: 10.0, window: Duration::from_secs(10) };
 
-/// An upstream of three slots.
+/// Returns an upstream with three slots.
 fn listed(name: &str, hall: &str, state: MemberState) -> Listed {
     let member = Member {
         name: name.to_owned(),
@@ -35,8 +35,9 @@
     Listed { member, slots: 3, cold: Duration::ZERO, born: None }
 }
 
-/// A box in hall `h` of a fleet that starts for the first time, before `n` upstreams of
-/// its hall, called `u0` and so on.
+/// Returns a box in data hall `h` with `n` local upstreams.
+///
+/// Its fleet starts for the first time.
 fn balancer(n: usize) -> Balancer {
     let mut b = Balancer::new("h", RULE, 7).with_past(Past::Empty);
     b.set_services(&[ServiceSpec::builder().name("s").build()], Time::ZERO);
@@ -46,9 +47,9 @@
     b
 }
 
-/// A request with an aim of one second and two seconds left.
+/// Returns a request with a latency target of one second and two seconds left.
 fn ask(b: &Balancer, repeatable: bool) -> Ask {
-    let service = b.service("s").expect("set up");
+    let service = b.service("s").expect("service is configured");
     Ask {
         service,
         repeatable,
@@ -60,33 +61,35 @@
     }
 }
 
-/// Sends `n` requests, one each 10 ms from `from` ms on, and counts the picks.
+/// Sends `n` requests, 10 ms apart from `from` ms on; returns the count for each upstream.
 fn send(b: &mut Balancer, n: u64, from: u64, repeatable: bool) -> BTreeMap<String, usize> {
     let ask = ask(b, repeatable);
     let mut picks = BTreeMap::new();
     for i in 0..n {
         let now = Time::from_millis(from + i * 10);
-        let pick = b.pick(&ask, &[], now).expect("there are upstreams");
-        *picks.entry(b.place(pick.upstream).expect("known").name.to_owned()).or_default() += 1;
+        let pick = b.pick(&ask, &[], now).expect("upstreams are available");
+        *picks
+            .entry(b.place(pick.upstream).expect("upstream is known").name.to_owned())
+            .or_default() += 1;
         b.answered(pick.attempt, true, now);
         b.finish(pick.attempt, Outcome::Whole, now);
     }
     picks
 }
 
-/// Has the answer to an attempt report this load of three slots.
+/// Reports a load, for three slots, in the answer to an attempt.
 fn report_load(b: &mut Balancer, pick: &Pick, busy: f64, now: Time) {
     let load = Some(LoadReport { busy, slots: 3.0 });
     b.signalled(pick.attempt, &Signals { load, ..Signals::default() }, now);
 }
 
-/// Has a whole answer to an attempt advertise a limit or none; tells whether that is a change.
+/// Advertises a rate limit or none in the answer to an attempt; returns whether it changed.
 fn advertise(b: &mut Balancer, pick: &Pick, limit: Option<f64>, now: Time) -> bool {
     let changes = b.signalled(pick.attempt, &Signals { limit, ..Signals::default() }, now);
     if limit.is_none() { b.limit_withdrawn(pick.attempt) } else { changes.limit }
 }
 
-/// Word of another box that an upstream failed at once.
+/// Returns a peer's announcement that an upstream failed at once.
 fn failure(name: &str) -> News {
     News::Seen { upstream: NameId::of(name), what: Observation::Failure }
 }
--- a/crates/honeypulley_policy/tests/balance/open_attempts.rs
+++ b/crates/honeypulley_policy/tests/balance/open_attempts.rs
@@ -1,4 +1,4 @@
-//! What open attempts and load say, and which requests are refused for load.
+//! Evidence from attempts in flight and load reports, and admission control.
 
 use crate::{ask, balancer, report_load, send};
 use honeypulley_policy::balance::{Balancer, News};
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 #[test]
-fn a_peer_of_the_hall_that_fills_an_upstream_is_counted() {
+fn attempts_of_a_peer_in_the_hall_count_as_load() {
     let mut b = balancer(2);
     let open = News::Open { upstream: NameId::of("u0"), count: 6 };
     b.heard(NameId::of("peer"), open, Time::ZERO);
@@ -20,11 +20,11 @@
 }
 
 #[test]
-fn a_full_load_report_is_believed_for_a_moment_only() {
+fn a_load_report_decays() {
     let mut b = balancer(2);
     let ask = ask(&b, true);
-    let pick = b.pick(&ask, &[], Time::ZERO).expect("there are two");
-    let name = b.place(pick.upstream).expect("known").name.to_owned();
+    let pick = b.pick(&ask, &[], Time::ZERO).expect("two upstreams are available");
+    let name = b.place(pick.upstream).expect("upstream is known").name.to_owned();
     report_load(&mut b, &pick, 15.0, Time::ZERO);
     b.finish(pick.attempt, Outcome::Whole, Time::ZERO);
     assert_eq!(send(&mut b, 20, 1, true).get(&name), None);
@@ -32,15 +32,15 @@
 }
 
 #[test]
-fn every_attempt_is_told_to_the_hall_and_every_failure_to_all() {
+fn attempts_are_announced_in_the_hall_and_failures_to_all() {
     let mut b = balancer(1);
     let ask = ask(&b, true);
-    let pick = b.pick(&ask, &[], Time::ZERO).expect("there is one");
+    let pick = b.pick(&ask, &[], Time::ZERO).expect("an upstream is available");
     b.finish(pick.attempt, Outcome::Failed, Time::from_millis(1));
     let upstream = NameId::of("u0");
-    let told = b.take_news();
+    let announced = b.take_news();
     assert_eq!(
-        told,
+        announced,
         [
             News::Open { upstream, count: 1 },
             News::Ended { upstream, count: 0, served: false, far: None, ago: Duration::ZERO },
@@ -53,33 +53,33 @@
 #[case::well(None, true)]
 #[case::failed(Some(Observation::Failure), false)]
 #[case::overdue(Some(Observation::Overdue), false)]
-fn attempts_of_the_hall_that_end_without_trouble_count_as_good(
-    #[case] trouble: Option<Observation>,
-    #[case] trusted_more: bool,
+fn successful_attempts_of_the_hall_raise_confidence(
+    #[case] observation: Option<Observation>,
+    #[case] is_raised: bool,
 ) {
     let mut b = balancer(2);
     let (peer, upstream) = (NameId::of("peer"), NameId::of("u0"));
     let sick = |b: &Balancer, ms: u64| {
         let rows = b.status(Time::from_millis(ms));
-        rows.iter().find(|r| r.upstream == "u0").expect("listed").sick
+        rows.iter().find(|r| r.upstream == "u0").expect("upstream is listed").sick
     };
     let before = sick(&b, 100);
     b.heard(peer, News::Open { upstream, count: 2 }, Time::from_millis(10));
-    if let Some(what) = trouble {
+    if let Some(what) = observation {
         b.heard(peer, News::Seen { upstream, what }, Time::from_millis(50));
     }
-    let served = trouble.is_none();
+    let served = observation.is_none();
     let ended = News::Ended { upstream, count: 0, served, far: None, ago: Duration::ZERO };
     b.heard(peer, ended, Time::from_millis(100));
-    assert_eq!(sick(&b, 100) < before, trusted_more);
+    assert_eq!(sick(&b, 100) < before, is_raised);
 }
 
-/// The serving thread of a box ended where an upstream left the list under an attempt.
+/// Guards against the serving thread ending when an upstream is removed during an attempt.
 #[test]
 fn an_attempt_outlives_its_upstream() {
     let mut b = balancer(1);
     let ask = ask(&b, true);
-    let pick = b.pick(&ask, &[], Time::ZERO).expect("there is one");
+    let pick = b.pick(&ask, &[], Time::ZERO).expect("an upstream is available");
     b.remove_upstream("u0");
     let later = Time::from_millis(900);
     b.still_open(pick.attempt, later);
@@ -87,8 +87,10 @@
     b.finish(pick.attempt, Outcome::Abandoned, later);
 }
 
-/// Second sends went out at the whole aim, since the age for them had moved by a
-/// millisecond between a look and the next one.
+/// Guards against hedges that are sent as late as the whole latency target.
+///
+/// The hedging delay moved by a millisecond between two checks, so the check came just too
+/// early and the hedge waited for the next one.
 #[test]
 fn a_look_that_is_a_moment_early_is_followed_at_once() {
     let mut b = balancer(2);
@@ -100,8 +102,8 @@
     assert!(next <= Duration::from_millis(10), "{next:?} after {early:?}");
 }
 
-/// Tells how many requests are queued at each upstream, by another box of the hall.
-fn queue(b: &mut Balancer, upstreams: usize, count: u16, at: Time) {
+/// Applies a peer's announcement of `count` requests at each upstream.
+fn announce_queue(b: &mut Balancer, upstreams: usize, count: u16, at: Time) {
     for i in 0..upstreams {
         let upstream = NameId::of(&format!("u{i}"));
         b.heard(NameId::of("peer"), News::Open { upstream, count }, at);
@@ -109,13 +111,13 @@
 }
 
 #[test]
-fn a_standing_queue_is_refused_at_once_and_a_passing_one_is_not() {
+fn a_standing_queue_is_refused_and_a_transient_one_is_not() {
     let mut b = balancer(2);
     let ask = ask(&b, true);
     let mut refused = Vec::new();
     for ms in (10..2_500).step_by(100) {
         let now = Time::from_millis(ms);
-        queue(&mut b, 2, 7, now);
+        announce_queue(&mut b, 2, 7, now);
         match b.pick(&ask, &[], now) {
             Ok(p) => b.finish(p.attempt, Outcome::NotRun, now),
             Err(r) => {
@@ -127,52 +129,58 @@
     }
     assert!(refused.first().is_some_and(|&ms| (400..1_500).contains(&ms)), "{refused:?}");
     let later = Time::from_millis(2_600);
-    queue(&mut b, 2, 0, later);
-    assert!(b.pick(&ask, &[], later).is_ok(), "the queue has drained");
+    announce_queue(&mut b, 2, 0, later);
+    assert!(b.pick(&ask, &[], later).is_ok(), "the queue is empty again");
 }
 
 #[test]
-fn a_request_that_would_wait_beyond_its_time_is_refused_at_once() {
+fn a_request_that_would_queue_beyond_its_time_limit_is_refused() {
     let mut b = balancer(2);
-    queue(&mut b, 2, 40, Time::from_millis(10));
+    announce_queue(&mut b, 2, 40, Time::from_millis(10));
     let ask = ask(&b, false);
-    let refused = b.pick(&ask, &[], Time::from_millis(20)).expect_err("both are full");
+    let refused = b.pick(&ask, &[], Time::from_millis(20)).expect_err("both upstreams are full");
     assert_eq!(refused.kind, RefusalKind::Overload);
 }
 
-/// A request of a route that holds it for less than work was assumed to last got 503.
+/// Guards against a 503 for time limits below the assumed service time.
 #[test]
-fn a_request_that_need_not_wait_is_sent_however_short_its_time() {
+fn a_request_without_queueing_is_sent_however_short_its_time_limit() {
     let mut b = balancer(2);
     let ask = Ask { left: Some(Duration::from_millis(100)), ..ask(&b, true) };
     assert!(b.pick(&ask, &[], Time::ZERO).is_ok());
 }
 
-/// What an answer's load report counts beyond this hall's own is told to the hall.
+/// A load report's share of other data halls is announced within the data hall.
 #[test]
-fn boxes_of_a_hall_tell_each_other_the_load_of_other_halls() {
+fn load_of_other_halls_is_announced_in_the_hall() {
     let mut b = balancer(1);
     let ask = ask(&b, true);
     let now = Time::from_millis(100);
-    let pick = b.pick(&ask, &[], Time::ZERO).expect("there is one");
+    let pick = b.pick(&ask, &[], Time::ZERO).expect("an upstream is available");
     report_load(&mut b, &pick, 4.0, now);
     b.answered(pick.attempt, true, now);
     b.finish(pick.attempt, Outcome::Whole, now);
     let upstream = NameId::of("u0");
     let ago = Duration::ZERO;
-    let told = News::Ended { upstream, count: 0, served: true, far: Some(3), ago };
-    assert!(b.take_news().contains(&told));
+    let announced = News::Ended { upstream, count: 0, served: true, far: Some(3), ago };
+    assert!(b.take_news().contains(&announced));
     let mut other = balancer(1);
-    other.heard(NameId::of("peer"), told, now);
-    let pick = other.pick(&ask, &[], now).expect("there is one");
-    assert!(other.inputs(pick.upstream, now).busy > 3.5, "its own and three of other halls");
+    other.heard(NameId::of("peer"), announced, now);
+    let pick = other.pick(&ask, &[], now).expect("an upstream is available");
+    assert!(
+        other.inputs(pick.upstream, now).busy > 3.5,
+        "its own request and three of other data halls"
+    );
 }
 
-/// Hangs: the usual illness of a fleet decides what an open attempt says.
+/// The age of an attempt is stronger evidence in fleets whose unhealthy upstreams hang.
 #[rstest]
 #[case::hangs(Observation::Hung, true)]
 #[case::fails_at_once(Observation::Failure, false)]
-fn an_old_attempt_says_more_where_upstreams_hang(#[case] usual: Observation, #[case] more: bool) {
+fn an_old_attempt_is_stronger_evidence_where_upstreams_hang(
+    #[case] usual: Observation,
+    #[case] is_stronger: bool,
+) {
     let sick = |usual: Option<Observation>| {
         let mut b = balancer(2);
         for i in 0..30 {
@@ -185,13 +193,13 @@
         b.heard(NameId::of("peer"), open, Time::from_millis(100));
         let rows = b.status(Time::from_millis(101));
         let ask = ask(&b, true);
-        let pick = b.pick(&ask, &[], Time::from_millis(101)).expect("there are two");
-        let name = b.place(pick.upstream).expect("known").name.to_owned();
+        let pick = b.pick(&ask, &[], Time::from_millis(101)).expect("two upstreams are available");
+        let name = b.place(pick.upstream).expect("upstream is known").name.to_owned();
         assert_eq!(rows.len(), 2);
         let (tried, now) = ([pick.upstream], Time::from_millis(900));
-        let other = b.pick(&ask, &tried, now).expect("there is another").upstream;
+        let other = b.pick(&ask, &tried, now).expect("another upstream is available").upstream;
         let key = if name == "u0" { pick.upstream } else { other };
         b.inputs(key, now).sick
     };
-    assert_eq!(sick(Some(usual)) > sick(None), more);
+    assert_eq!(sick(Some(usual)) > sick(None), is_stronger);
 }
--- a/crates/honeypulley_policy/tests/balance/trials.rs
+++ b/crates/honeypulley_policy/tests/balance/trials.rs
@@ -1,4 +1,4 @@
-//! Trials: work for upstreams that would not be chosen by their loss.
+//! Probes: requests to idle upstreams that would not be selected by their loss.
 
 use crate::{balancer, failure, listed, send};
 use honeypulley_policy::collector::NameId;
@@ -12,17 +12,17 @@
 #[case::failing(60, true)]
 fn failed_upstreams_are_tried_soon_only_while_much_fails(
     #[case] failures: usize,
-    #[case] tried: bool,
+    #[case] is_probed: bool,
 ) {
     let mut b = balancer(10);
     send(&mut b, 400, 10, false);
     for name in ["u1", "u2", "u3"] {
         b.heard(NameId::of("other"), failure(name), Time::from_millis(4_010));
     }
-    let service = b.service("s").expect("set up");
+    let service = b.service("s").expect("service is configured");
     let mut picks = BTreeMap::new();
     for from in (4_020..8_520).step_by(500) {
-        // Those of an upstream that never answers.
+        // Failures of an upstream that never answers.
         for _ in 0..failures {
             b.heard(NameId::of("other"), failure("u4"), Time::from_millis(from));
         }
@@ -31,15 +31,17 @@
             *picks.entry(name).or_insert(0) += n;
         }
     }
-    let was_tried = ["u1", "u2", "u3"].iter().any(|n| picks.contains_key(*n));
-    assert_eq!(was_tried, tried, "{picks:?}");
+    let was_probed = ["u1", "u2", "u3"].iter().any(|n| picks.contains_key(*n));
+    assert_eq!(was_probed, is_probed, "{picks:?}");
 }
 
-/// On a grown deployment 6 of 10 sound upstreams got nothing for two seconds while
-/// much failed: some were left out, some had failed a second time.
+/// Guards against idle upstreams while the failure rate is high.
+///
+/// In a grown deployment 6 of 10 healthy upstreams got no request for two seconds, as they were
+/// not probed or had failed a second time.
 #[rstest]
 #[case::repeatable(true)]
-#[case::unsafe_ones(false)]
+#[case::unsafe_requests(false)]
 fn while_much_fails_every_failed_upstream_is_tried_within_four_seconds(#[case] repeatable: bool) {
     let mut b = balancer(30);
     send(&mut b, 600, 10, repeatable);
@@ -49,19 +51,21 @@
             b.heard(NameId::of("other"), failure(name), Time::from_millis(at));
         }
     }
-    let mut tried = std::collections::BTreeSet::new();
+    let mut probed = std::collections::BTreeSet::new();
     for from in (8_610..12_600).step_by(100) {
-        // Those of upstreams that never answer.
+        // Failures of an upstream that never answers.
         for _ in 0..6 {
             b.heard(NameId::of("other"), failure("u29"), Time::from_millis(from));
         }
-        tried.extend(send(&mut b, 10, from, repeatable).into_keys());
+        probed.extend(send(&mut b, 10, from, repeatable).into_keys());
     }
-    let missing: Vec<&String> = failed.iter().filter(|n| !tried.contains(*n)).collect();
-    assert!(missing.is_empty(), "{missing:?} got nothing");
+    let missing: Vec<&String> = failed.iter().filter(|n| !probed.contains(*n)).collect();
+    assert!(missing.is_empty(), "{missing:?} got no requests");
 }
 
-/// Nine upstreams that had failed twice got nothing for 7.5 s after a loss of all boxes.
+/// Guards against a longer probe backoff after two failures by the same fault.
+///
+/// After a restart of all boxes, nine upstreams that had failed twice got no request for 7.5 s.
 #[test]
 fn a_second_failure_in_a_spell_prolongs_no_rest() {
     let mut b = balancer(10);
@@ -72,11 +76,13 @@
     }
     send(&mut b, 380, 8_510, false);
     let picks = send(&mut b, 350, 12_310, false);
-    let tried = ["u1", "u2", "u3"].iter().filter(|n| picks.contains_key(**n)).count();
-    assert!(tried >= 2, "{tried} of three were tried within 7.3 s: {picks:?}");
+    let probed = ["u1", "u2", "u3"].iter().filter(|n| picks.contains_key(**n)).count();
+    assert!(probed >= 2, "{probed} of 3 upstreams were probed within 7.3 s: {picks:?}");
 }
 
-/// On a grown deployment 10 of 18 new upstreams got nothing beside 80 proven ones.
+/// Guards against new upstreams staying idle beside proven ones.
+///
+/// In a grown deployment 10 of 18 new upstreams got no request beside 80 others.
 #[test]
 fn new_upstreams_get_work_whatever_failed_among_the_others() {
     let mut b = balancer(40);
@@ -91,27 +97,31 @@
     send(&mut b, 200, 15_010, false);
     let picks = send(&mut b, 200, 17_010, false);
     let new = picks.keys().filter(|k| k.starts_with("new")).count();
-    assert!(new >= 7, "{new} of 10 new ones got work: {picks:?}");
+    assert!(new >= 7, "{new} of 10 new upstreams got requests: {picks:?}");
 }
 
 #[rstest]
 #[case::repeatable(true)]
-#[case::unsafe_ones(false)]
+#[case::unsafe_requests(false)]
 fn most_upstreams_get_work_in_any_two_seconds(#[case] repeatable: bool) {
     let mut b = balancer(10);
     for i in 0..8 {
         b.heard(NameId::of("other"), failure(&format!("u{i}")), Time::from_millis(5));
         b.heard(NameId::of("other"), failure(&format!("u{i}")), Time::from_millis(6));
     }
-    // Those that failed count as well again after two seconds.
+    // Failed upstreams are probed again after two seconds.
     for from in [6_000, 9_000, 20_000] {
         let picks = send(&mut b, 200, from, repeatable);
-        assert!(picks.len() >= 7, "{} of 10 got work from {from} on: {picks:?}", picks.len());
+        assert!(
+            picks.len() >= 7,
+            "{} of 10 upstreams got requests from {from} ms on: {picks:?}",
+            picks.len()
+        );
     }
 }
 
 #[test]
-fn one_that_failed_a_moment_ago_is_left_alone() {
+fn an_upstream_that_just_failed_is_not_probed() {
     let mut b = balancer(10);
     send(&mut b, 200, 10, true);
     b.heard(NameId::of("other"), failure("u3"), Time::from_millis(2_010));
@@ -123,11 +133,11 @@
 fn a_box_that_has_just_started_spreads_its_work() {
     let mut b = balancer(10);
     let picks = send(&mut b, 120, 10, false);
-    assert!(picks.len() >= 7, "{} of 10 got work in 1.2 s: {picks:?}", picks.len());
+    assert!(picks.len() >= 7, "{} of 10 upstreams got requests in 1.2 s: {picks:?}", picks.len());
 }
 
 #[test]
-fn a_new_upstream_gets_work_however_well_the_others_are_proven() {
+fn a_new_upstream_gets_requests_beside_proven_ones() {
     let mut b = balancer(3);
     send(&mut b, 1_000, 10, false);
     b.set_upstream(listed("new", "h", MemberState::Live), Time::from_millis(10_010));
