--- a/crates/honeypulley_policy/src/balance/heard.rs
+++ b/crates/honeypulley_policy/src/balance/heard.rs
@@ -94,7 +94,7 @@
 
     /// Records the number of attempts in flight from a box of this data hall.
     ///
-    /// They are in flight since `at`. Returns the previous entry.
+    /// Attempts that are new count as started at `at`. Returns the previous entry.
     fn apply_open(
         &mut self,
         from: NameId,
--- a/crates/honeypulley_policy/tests/balance/named.rs
+++ b/crates/honeypulley_policy/tests/balance/named.rs
@@ -199,7 +199,7 @@
     assert!(limit.is_some_and(|l| (l.rate - 0.5).abs() < 1e-9 && l.part == 1.0), "{status:?}");
 }
 
-/// Returns a box of a fleet with one upstream in each of two data halls.
+/// Returns a box of a fleet with two data halls of one upstream each.
 fn two_halls(hall: &str) -> Balancer {
     let mut b = Balancer::new(hall, RULE, 3).with_past(Past::Empty);
     b.set_services(&[ServiceSpec::builder().name("s").build()], Time::ZERO);
