--- a/crates/honeypulley_mesh/src/admin.rs
+++ b/crates/honeypulley_mesh/src/admin.rs
@@ -1,4 +1,4 @@
-//! What a box shows of itself on its admin port.
+//! Readiness, status and metrics of a box on its admin port.
 
 use crate::state::Mesh;
 use honeypulley_daemon::admin::AdminView;
@@ -21,17 +21,17 @@
     }
 
     fn status(&self) -> Vec<u8> {
-        let b = self.beacon();
+        let beacon = self.beacon();
         let status = serde_json::json!({
             "name": self.settings.name,
             "hall": self.settings.hall,
             "table": self.in_force.load().as_ref().map_or(0, |t| t.version),
-            "list": b.list.number,
-            "epoch": b.epoch,
+            "list": beacon.list.number,
+            "epoch": beacon.epoch,
             "restores": self.restores(),
-            "list_age_ms": b.list_age.as_millis() as u64,
-            "reader": b.reader,
-            "read_age_ms": b.read_age.as_millis() as u64,
+            "list_age_ms": beacon.list_age.as_millis() as u64,
+            "reader": beacon.reader,
+            "read_age_ms": beacon.read_age.as_millis() as u64,
             "in_touch": self.readers().in_touch(self.now()),
             "boxes": self.book().count(),
             "held": self.held_requests().len(),
@@ -41,7 +41,7 @@
     }
 
     fn metrics(&self) -> String {
-        let b = self.beacon();
+        let beacon = self.beacon();
         let boxes = self.book().count();
         let upstreams = self.upstreams();
         let (suspected, held) = (self.suspected_requests(), self.held_requests().len());
@@ -55,14 +55,14 @@
              honeypulley_requests_suspected {suspected}\nhoneypulley_requests_on_hold {held}\n\
              honeypulley_entries_foreign_total {}\n",
             self.registry.text(),
-            b.table,
-            b.list.number,
-            b.epoch,
+            beacon.table,
+            beacon.list.number,
+            beacon.epoch,
             self.restores(),
-            b.list_age.as_millis(),
-            u8::from(self.catch_up().misses(b.list)),
-            u8::from(b.reader),
-            b.read_age.as_millis(),
+            beacon.list_age.as_millis(),
+            u8::from(self.catch_up().misses(beacon.list)),
+            u8::from(beacon.reader),
+            beacon.read_age.as_millis(),
             self.news_in.dropped() + self.news_out.dropped(),
             self.foreign_entries(),
         )
--- a/crates/honeypulley_mesh/src/decoder.rs
+++ b/crates/honeypulley_mesh/src/decoder.rs
@@ -1,4 +1,4 @@
-//! What reads the platform's objects into the project's own types.
+//! Decoding of the platform's objects into this project's types.
 
 use honeypulley_platform::api::Object;
 use honeypulley_policy::balance::Listed;
@@ -6,45 +6,45 @@
 use honeypulley_policy::routes::RouteTable;
 use std::fmt::Debug;
 
-/// Where the platform keeps what a fleet needs.
+/// Keys and key prefixes of a fleet's objects in the platform's store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoreKeys {
     /// Key of the routing table.
     pub table: String,
-    /// Prefix of the routing table and its like, which is watched.
+    /// Watched prefix under which the routing table is stored.
     pub tables: String,
-    /// Prefix of the entries of upstreams.
+    /// Prefix of the upstreams' entries.
     pub upstreams: String,
-    /// Prefix of the fleet's own boxes.
+    /// Prefix of the records of the fleet's boxes.
     pub boxes: String,
-    /// Key of the requests that are held.
+    /// Key of the record of held requests.
     pub held: String,
 }
 
-/// Why an object of the platform could not be read.
+/// Error returned when an object of the platform can't be decoded.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{key} at version {version}: {cause}")]
 pub struct DecodeError {
     /// Key of the object.
     pub key: String,
-    /// Its version.
+    /// Revision of the object.
     pub version: Revision,
-    /// What was wrong.
+    /// Description of the fault.
     pub cause: String,
 }
 
-/// Reads the platform's objects into the project's own types.
+/// Decodes the platform's objects into this project's types.
 pub trait Decoder: Debug + Send + Sync {
-    /// Returns where things are.
+    /// Returns the keys and prefixes of the fleet's objects.
     fn keys(&self) -> &StoreKeys;
-    /// Reads the routing table.
+    /// Decodes the routing table.
     ///
     /// # Errors
-    /// Returns what could not be read or served.
+    /// Returns an error if the object is malformed or the table can't be served.
     fn table(&self, o: &Object) -> Result<RouteTable, DecodeError>;
-    /// Reads an upstream's entry.
+    /// Decodes an upstream's entry.
     ///
     /// # Errors
-    /// Returns what could not be read.
+    /// Returns an error if the object is malformed.
     fn upstream(&self, o: &Object) -> Result<Listed, DecodeError>;
 }
--- a/crates/honeypulley_mesh/src/epoch.rs
+++ b/crates/honeypulley_mesh/src/epoch.rs
@@ -1,7 +1,7 @@
-//! Handles a restore of the platform from a backup.
+//! Detection of restores of the platform from a backup.
 //!
-//! Every answer of the platform and every beacon carries the epoch. A higher one makes the box
-//! reread table, list and holds.
+//! Every answer of the platform and every beacon carries the platform's epoch. A higher epoch
+//! makes the box reread table, list and holds.
 
 use crate::readers::RETURN_TIME;
 use crate::state::Mesh;
@@ -14,23 +14,23 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// The newest epoch that a box knows of, and how often it has changed.
+/// The highest known epoch of the platform and the number of restores noticed.
 #[derive(Debug, Default)]
 pub(crate) struct Epoch {
     newest: AtomicU64,
     restores: AtomicU64,
     /// Serializes changes of the epoch; lists of the new epoch are applied after them.
-    changing: Mutex<()>,
+    update_lock: Mutex<()>,
 }
 
 impl Mesh {
-    /// Returns the newest epoch of the platform that this box knows of, zero if none.
+    /// Returns the highest known epoch of the platform, or zero if none is known.
     #[must_use]
     pub fn epoch(&self) -> u64 {
         self.epoch.newest.load(Ordering::Acquire)
     }
 
-    /// Waits for an epoch after this one, and returns it.
+    /// Waits for an epoch higher than `epoch` and returns it.
     pub async fn epoch_after(&self, epoch: u64) -> u64 {
         loop {
             let restored = self.restored.notified();
@@ -42,26 +42,26 @@
         }
     }
 
-    /// Returns how many restores of the platform this box has noticed.
+    /// Returns the number of restores of the platform that this box has noticed.
     #[must_use]
     pub fn restores(&self) -> u64 {
         self.epoch.restores.load(Ordering::Relaxed)
     }
 
-    /// Records an epoch that an answer of the platform or a peer named.
+    /// Records an epoch received from the platform or a peer.
     pub fn learn_epoch(&self, epoch: u64, from: &str) {
         if epoch <= self.epoch() {
             return;
         }
-        let changing = self.epoch.changing.lock();
+        let guard = self.epoch.update_lock.lock();
         let before = self.epoch();
         if epoch <= before {
             return;
         }
         let list = self.list_now().version;
-        // Nothing was read yet, so that nothing is outdated.
+        // Nothing was read yet, so nothing is out of date.
         if list.is_zero() && self.table_number() == 0 {
-            log::info!(epoch, from; "store: its epoch is {epoch}");
+            log::info!(epoch, from; "store: the platform's epoch is {epoch}");
             self.epoch.newest.store(epoch, Ordering::Release);
             return;
         }
@@ -70,10 +70,10 @@
         self.readers().restored(now);
         self.lists.lock().list.begin_epoch(epoch, now + RETURN_TIME);
         self.epoch.newest.store(epoch, Ordering::Release);
-        drop(changing);
+        drop(guard);
         log::warn!(
             before, epoch, list:display, table = self.table_number(), from;
-            "store: restored from a backup, epoch {before} became {epoch}; table, list and holds are reread"
+            "store: restored from a backup, epoch {before} became {epoch}; rereading table, list and holds"
         );
         self.restored.notify_waiters();
         self.asking.notify_one();
@@ -81,7 +81,7 @@
     }
 }
 
-/// Wraps a platform and reports the epoch of each answer to a box.
+/// Wraps a platform client and reports the epoch of each answer to the box.
 #[derive(Debug)]
 pub struct EpochWatch {
     inner: Arc<dyn Platform>,
@@ -89,20 +89,22 @@
 }
 
 impl EpochWatch {
-    /// Wraps a platform on behalf of a box.
+    /// Wraps a platform client.
     #[must_use]
     pub const fn new(inner: Arc<dyn Platform>, mesh: Arc<Mesh>) -> Self {
         Self { inner, mesh }
     }
 
-    /// Records the epoch after a call, also a failed one.
-    fn noted<T>(&self, answer: T) -> T {
+    /// Records the platform's epoch after a call, whether or not it succeeded.
+    fn record_epoch<T>(&self, answer: T) -> T {
         self.mesh.learn_epoch(self.inner.epoch(), "platform");
         answer
     }
 
-    /// Rejects an answer of an earlier epoch than one learned from a peer.
-    fn checked(&self, step: &'static str, found: Option<u64>) -> Result<(), PlatformError> {
+    /// Rejects an answer of a lower epoch than the highest known one.
+    ///
+    /// That epoch may have been learned from a peer.
+    fn check_epoch(&self, step: &'static str, found: Option<u64>) -> Result<(), PlatformError> {
         let wanted = self.mesh.epoch();
         match found {
             Some(found) if found < wanted => {
@@ -117,13 +119,13 @@
 #[async_trait]
 impl Platform for EpochWatch {
     async fn get(&self, key: &str) -> Result<Option<Object>, PlatformError> {
-        let found = self.noted(self.inner.get(key).await)?;
-        self.checked("read", found.as_ref().map(|o| o.version.epoch))?;
+        let found = self.record_epoch(self.inner.get(key).await)?;
+        self.check_epoch("read", found.as_ref().map(|o| o.version.epoch))?;
         Ok(found)
     }
 
     async fn put(&self, key: &str, value: Bytes, e: Expect) -> Result<Revision, PlatformError> {
-        self.noted(self.inner.put(key, value, e).await)
+        self.record_epoch(self.inner.put(key, value, e).await)
     }
 
     async fn watch(
@@ -132,14 +134,14 @@
         after: Revision,
         wait: Duration,
     ) -> Result<Changes, PlatformError> {
-        let changes = self.noted(self.inner.watch(prefix, after, wait).await)?;
-        self.checked("watch", Some(changes.version.epoch))?;
+        let changes = self.record_epoch(self.inner.watch(prefix, after, wait).await)?;
+        self.check_epoch("watch", Some(changes.version.epoch))?;
         Ok(changes)
     }
 
     async fn list(&self, prefix: &str, f: Freshness) -> Result<Changes, PlatformError> {
-        let all = self.noted(self.inner.list(prefix, f).await)?;
-        self.checked("list", Some(all.version.epoch))?;
+        let all = self.record_epoch(self.inner.list(prefix, f).await)?;
+        self.check_epoch("list", Some(all.version.epoch))?;
         Ok(all)
     }
 
@@ -148,6 +150,6 @@
     }
 
     async fn members(&self) -> Result<Bytes, PlatformError> {
-        self.noted(self.inner.members().await)
+        self.record_epoch(self.inner.members().await)
     }
 }
--- a/crates/honeypulley_mesh/src/held.rs
+++ b/crates/honeypulley_mesh/src/held.rs
@@ -1,10 +1,11 @@
-//! Held requests in the platform's store, for a fleet that loses power as a whole.
+//! Persistence of held requests in the platform's store.
 //!
-//! No box knows anything then, and the caller still comes. The reader that tells changes first
-//! writes all holds as one object when they change, a few times for each request that ends
-//! upstreams; each box that becomes a reader reads it once and broadcasts it.
+//! The boxes keep holds in memory only, so a power loss of the whole fleet would lose them while
+//! callers keep repeating the requests. The reader of rank zero therefore writes all holds
+//! as one object whenever they change, which is a few times for each request that ends upstreams.
+//! Each box that becomes a reader reads the object once and broadcasts its holds.
 
-use crate::store::{FIRST_WAIT, StoreDuty, pause};
+use crate::store::{MIN_BACKOFF, StoreDuty, back_off};
 use bytes::Bytes;
 use honeypulley_platform::api::{Expect, PlatformError};
 use honeypulley_policy::quarantine::{Fingerprint, Hold, RequestNews, Scope};
@@ -13,126 +14,135 @@
 use std::collections::BTreeSet;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Time between two looks at whether the stored holds are those that are known.
+/// Interval between comparisons of the stored holds with those in memory.
 ///
-/// A loss of power within it after a hold forgets that hold: the request then ends up to three
+/// A power loss within this time after a hold loses the hold; the request then ends up to three
 /// more upstreams.
-const STORE_GAP: Duration = Duration::from_millis(300);
+const SYNC_INTERVAL: Duration = Duration::from_millis(300);
 
-/// All holds as they stand in the store.
+/// Stored form of all holds.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct HeldRecord {
     held: Vec<HeldRequest>,
 }
 
-/// One hold in the store.
+/// Stored form of one hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct HeldRequest {
     request: u64,
-    /// Whether the fingerprint covers the content alone.
+    /// Whether the fingerprint covers only the content, not the caller.
     content: bool,
-    /// When it lapses, in milliseconds of the time of day: the only clock that boxes share
-    /// with their next lives. It may be seconds off, of a hold of minutes.
+    /// Expiry as Unix time in milliseconds.
+    ///
+    /// The system clock is the only one that survives a restart and is shared between boxes. Its
+    /// error of up to seconds is small against a hold of minutes.
     until_ms: u64,
     trials: u8,
 }
 
-/// What this box knows of the object in the store.
+/// The stored object as this box last read or wrote it.
 #[derive(Debug)]
-struct Stored {
-    /// Epoch of the platform in which it was read.
+struct StoredHolds {
+    /// Epoch of the platform in which the object was read.
     epoch: u64,
-    /// Its version, if it is there.
+    /// Revision of the object; `None` if it does not exist.
     version: Option<Revision>,
+    /// Fingerprint and number of trials of each stored hold.
     held: BTreeSet<(u64, u8)>,
 }
 
 impl StoreDuty {
-    /// Reads the holds when this box begins to read, and writes those that are new.
-    pub(crate) async fn keep_held(&self) {
-        let mut stored: Option<Stored> = None;
-        let mut wait = FIRST_WAIT;
+    /// Reads the stored holds when this box becomes a reader, then writes changes.
+    pub(crate) async fn sync_held(&self) {
+        let mut stored: Option<StoredHolds> = None;
+        let mut wait = MIN_BACKOFF;
         loop {
             if !self.mesh.readers().is_reading() {
                 stored = None;
             }
-            self.until_reading().await;
-            let done = match stored.take().filter(|s| s.epoch == self.mesh.epoch()) {
+            self.wait_until_reader().await;
+            let result = match stored.take().filter(|s| s.epoch == self.mesh.epoch()) {
                 None => self.read_held().await,
                 Some(s) => self.write_held(s).await,
             };
-            match done {
+            match result {
                 Ok(s) => {
                     stored = Some(s);
-                    wait = FIRST_WAIT;
-                    tokio::time::sleep(STORE_GAP).await;
+                    wait = MIN_BACKOFF;
+                    tokio::time::sleep(SYNC_INTERVAL).await;
                 }
-                // It is read again: the write may have been done, or another box has written.
+                // Read again: the write may have succeeded, or another box may have written.
                 Err(e) => {
-                    log::info!("quarantine: the stored holds are not known: {e}");
-                    pause(&mut wait).await;
+                    log::info!("quarantine: failed to read or write the stored holds: {e}");
+                    back_off(&mut wait).await;
                 }
             }
         }
     }
 
-    async fn read_held(&self) -> Result<Stored, PlatformError> {
+    /// Reads the stored holds and applies them.
+    async fn read_held(&self) -> Result<StoredHolds, PlatformError> {
         let key = &self.mesh.decoder.keys().held;
         let Some(object) = self.platform.get(key).await? else {
             let epoch = self.mesh.epoch();
-            return Ok(Stored { epoch, version: None, held: BTreeSet::new() });
+            return Ok(StoredHolds { epoch, version: None, held: BTreeSet::new() });
         };
         let record: HeldRecord = serde_json::from_slice(&object.value).unwrap_or_else(|e| {
-            log::warn!(version:display = object.version; "quarantine: the stored holds are left out: {e}");
+            log::warn!(version:display = object.version; "quarantine: ignored the stored holds, which are malformed: {e}");
             HeldRecord::default()
         });
-        let day = time_of_day();
-        self.mesh.hear_requests(record.held.iter().map(|h| h.news(day)).collect());
+        let unix_now = unix_time();
+        self.mesh.hear_requests(record.held.iter().map(|h| h.request_news(unix_now)).collect());
         let held = record.held.iter().map(|h| (h.request, h.trials)).collect();
         let epoch = object.version.epoch;
-        Ok(Stored { epoch, version: Some(object.version), held })
+        Ok(StoredHolds { epoch, version: Some(object.version), held })
     }
 
-    /// Writes the holds if they are not those that stand there, and this box is to do it.
-    async fn write_held(&self, stored: Stored) -> Result<Stored, PlatformError> {
+    /// Writes the holds if they have changed and this reader's rank is zero.
+    async fn write_held(&self, stored: StoredHolds) -> Result<StoredHolds, PlatformError> {
         let now = self.mesh.now();
         let holds = self.mesh.held_requests();
         let held: BTreeSet<(u64, u8)> = holds.iter().map(|h| (h.request.0, h.trials)).collect();
         if held == stored.held || self.mesh.readers().rank(now) > 0 {
             return Ok(stored);
         }
-        let day = time_of_day();
-        let record = HeldRecord { held: holds.iter().map(|h| HeldRequest::of(h, day)).collect() };
-        let value = Bytes::from(serde_json::to_vec(&record).expect("a record is plain data"));
+        let unix_now = unix_time();
+        let record =
+            HeldRecord { held: holds.iter().map(|h| HeldRequest::of(h, unix_now)).collect() };
+        let value = Bytes::from(
+            serde_json::to_vec(&record).expect("a record of plain data is serializable"),
+        );
         let expect = stored.version.map_or(Expect::Absent, Expect::Version);
         let key = &self.mesh.decoder.keys().held;
         let version = self.platform.put(key, value, expect).await?;
-        log::info!(version:display = version, held = held.len(); "quarantine: {} holds are stored", held.len());
-        Ok(Stored { version: Some(version), held, ..stored })
+        log::info!(version:display = version, held = held.len(); "quarantine: stored {} holds", held.len());
+        Ok(StoredHolds { version: Some(version), held, ..stored })
     }
 }
 
 impl HeldRequest {
-    fn of(h: &Hold, day: Duration) -> Self {
+    /// Converts a hold to its stored form.
+    fn of(h: &Hold, unix_now: Duration) -> Self {
         Self {
             request: h.request.0,
             content: h.scope == Scope::Content,
-            until_ms: (day + h.left).as_millis() as u64,
+            until_ms: (unix_now + h.left).as_millis() as u64,
             trials: h.trials,
         }
     }
 
-    fn news(&self, day: Duration) -> RequestNews {
+    /// Converts a stored hold to news of it.
+    fn request_news(&self, unix_now: Duration) -> RequestNews {
         RequestNews::Held {
             request: Fingerprint(self.request),
             scope: if self.content { Scope::Content } else { Scope::Caller },
-            left: Duration::from_millis(self.until_ms).saturating_sub(day),
+            left: Duration::from_millis(self.until_ms).saturating_sub(unix_now),
             trials: self.trials,
         }
     }
 }
 
-/// Returns the time of day since 1970, zero if the clock stands before that.
-fn time_of_day() -> Duration {
+/// Returns the Unix time, or zero if the system clock is set before 1970.
+fn unix_time() -> Duration {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
 }
--- a/crates/honeypulley_mesh/src/join.rs
+++ b/crates/honeypulley_mesh/src/join.rs
@@ -1,11 +1,10 @@
-//! How a box that starts gets table, list and the other boxes from the platform.
+//! Startup of a box: reads the table, the list and the other boxes from the platform.
 //!
-//! Answers that may be seconds old will do: they cost a tenth of a call and are outside
-//! the platform's rate, also when the whole fleet starts at once, and what has changed
-//! since is pushed by the readers.
+//! Stale reads are sufficient, also when the whole fleet starts at once: they cost a tenth of a
+//! call and don't count against the platform's rate limit. The readers push all later changes.
 
 use crate::state::Mesh;
-use crate::store::{FIRST_WAIT, StoreDuty, pause};
+use crate::store::{MIN_BACKOFF, StoreDuty, back_off};
 use bytes::Bytes;
 use honeypulley_peer::listing::BoxAddress;
 use honeypulley_platform::api::{Changes, Expect, Freshness, PlatformError};
@@ -16,18 +15,19 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// Retry interval for a missing routing table while no list reader is reachable.
-const ABSENT_WAIT: Duration = Duration::from_secs(2);
-/// Bounds of the wait after which a first start looks once more for the other boxes, in
-/// milliseconds: an old answer does not show those that came in the last seconds.
-const AGAIN_WAIT: (u64, u64) = (3_000, 5_000);
+/// Retry interval for a missing routing table while no reader is reachable.
+const TABLE_RETRY: Duration = Duration::from_secs(2);
+/// Bounds of the delay before the second read of the boxes at a first start, in milliseconds.
+///
+/// The first stale read does not show the boxes that registered in the last seconds.
+const SECOND_READ_DELAY_MS: (u64, u64) = (3_000, 5_000);
 
-/// Age up to which a record may have been lost with a restore: backups are some seconds old.
-const RECORD_AT_RISK: Duration = Duration::from_secs(60);
-/// Records that all boxes together write again after a restore, a second.
-const RECORDS_A_SECOND: f64 = 100.0;
+/// Age up to which a restore may have lost a record; backups are some seconds old.
+const MAX_BACKUP_AGE: Duration = Duration::from_secs(60);
+/// Rate at which all boxes together rewrite records after a restore, in records per second.
+const RECORDS_PER_S: f64 = 100.0;
 
-/// A box as it stands in the store.
+/// Stored form of a box's address and data hall.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct BoxRecord {
     peer: SocketAddr,
@@ -35,115 +35,117 @@
 }
 
 impl StoreDuty {
-    /// Fetches table and list and registers this box, each until it succeeds.
+    /// Reads table and list and registers this box, retrying each until it succeeds.
     pub(crate) async fn join(&self) {
-        tokio::join!(self.first_table(), self.first_list(), self.meet_others());
+        tokio::join!(self.load_table(), self.load_list(), self.register());
         std::future::pending::<()>().await;
     }
 
-    async fn first_table(&self) {
-        let (mut wait, mut fresh) = (FIRST_WAIT, Freshness::Stale);
+    /// Reads the routing table until this box has one.
+    async fn load_table(&self) {
+        let (mut wait, mut fresh) = (MIN_BACKOFF, Freshness::Stale);
         while self.mesh.table_number() == 0 {
             match self.read_table(fresh).await {
                 Ok(_) if self.mesh.table_number() > 0 => {}
-                // The operator may not have written one yet, or the answer is older.
+                // The operator may not have written a table yet, or the stale read predates it.
                 Ok(_) => {
-                    self.mesh.setup.give_up();
-                    self.until_table().await;
+                    self.mesh.startup.mark_unavailable();
+                    self.wait_for_table().await;
                 }
                 Err(e) => {
-                    fresh = after_failure(fresh, &e);
-                    self.mesh.setup.give_up();
-                    pause(&mut wait).await;
+                    fresh = next_freshness(fresh, &e);
+                    self.mesh.startup.mark_unavailable();
+                    back_off(&mut wait).await;
                 }
             }
         }
     }
 
-    /// Ends once a peer has announced a table, or when the platform is to be asked again.
-    async fn until_table(&self) {
+    /// Waits for a table from a peer, or until the platform has to be read again.
+    async fn wait_for_table(&self) {
         loop {
-            let _ = tokio::time::timeout(ABSENT_WAIT, self.mesh.table_reached(1)).await;
-            let is_read = !self.mesh.readers().live(self.mesh.now()).is_empty();
-            if self.mesh.table_number() > 0 || !is_read {
+            let _ = tokio::time::timeout(TABLE_RETRY, self.mesh.table_reached(1)).await;
+            let has_readers = !self.mesh.readers().live(self.mesh.now()).is_empty();
+            if self.mesh.table_number() > 0 || !has_readers {
                 return;
             }
         }
     }
 
-    async fn first_list(&self) {
-        let (mut wait, mut fresh) = (FIRST_WAIT, Freshness::Stale);
+    /// Reads the list of upstreams until this box has one.
+    async fn load_list(&self) {
+        let (mut wait, mut fresh) = (MIN_BACKOFF, Freshness::Stale);
         while !self.mesh.knows_list() {
             if let Err(e) = self.read_list(fresh).await {
-                fresh = after_failure(fresh, &e);
-                self.mesh.setup.give_up();
-                pause(&mut wait).await;
+                fresh = next_freshness(fresh, &e);
+                self.mesh.startup.mark_unavailable();
+                back_off(&mut wait).await;
             }
         }
     }
 
-    /// Writes this box's address if it is not there, and reads the others'.
-    async fn meet_others(&self) {
-        let mut wait = FIRST_WAIT;
+    /// Registers this box's address and reads the other boxes' addresses.
+    async fn register(&self) {
+        let mut wait = MIN_BACKOFF;
         let epoch = loop {
             match self.try_register().await {
                 Ok(epoch) => break epoch,
                 Err(e) => log::info!("join: {e}"),
             }
-            pause(&mut wait).await;
+            back_off(&mut wait).await;
         };
         let registered = self.mesh.now();
         self.mesh.greeting.notify_one();
-        tokio::join!(self.look_again(), self.keep_record(epoch, registered));
+        tokio::join!(self.read_boxes_again(), self.preserve_record(epoch, registered));
     }
 
-    /// Reads the others' addresses once more at a first start, when many are new.
-    async fn look_again(&self) {
+    /// Reads the boxes a second time at a first start, when many have just registered.
+    async fn read_boxes_again(&self) {
         if self.mesh.settings.first_start {
-            let again = fastrand::u64(AGAIN_WAIT.0..AGAIN_WAIT.1);
-            tokio::time::sleep(Duration::from_millis(again)).await;
+            let delay = fastrand::u64(SECOND_READ_DELAY_MS.0..SECOND_READ_DELAY_MS.1);
+            tokio::time::sleep(Duration::from_millis(delay)).await;
             let boxes = self.platform.list(&self.mesh.decoder.keys().boxes, Freshness::Stale).await;
             match boxes {
-                Ok(all) => self.mesh.learn_records(&all),
+                Ok(all) => self.mesh.add_records(&all),
                 Err(e) => log::info!("join: {e}"),
             }
         }
     }
 
-    /// Writes this box's record again after each restore that may have lost it.
-    async fn keep_record(&self, mut epoch: u64, registered: Time) {
+    /// Rewrites this box's record after each restore that may have lost it.
+    async fn preserve_record(&self, mut epoch: u64, registered: Time) {
         loop {
             epoch = self.mesh.epoch_after(epoch).await;
-            if self.mesh.now().since(registered) > RECORD_AT_RISK {
+            if self.mesh.now().since(registered) > MAX_BACKUP_AGE {
                 return;
             }
-            let spread = self.mesh.book().count() as f64 / RECORDS_A_SECOND;
-            tokio::time::sleep(Duration::from_secs_f64(spread * fastrand::f64())).await;
+            let max_delay = self.mesh.book().count() as f64 / RECORDS_PER_S;
+            tokio::time::sleep(Duration::from_secs_f64(max_delay * fastrand::f64())).await;
             let (key, record) = self.own_record();
-            let mut wait = FIRST_WAIT;
+            let mut wait = MIN_BACKOFF;
             while let Err(e) = self.write_record(&key, &record).await {
                 log::info!("join: {e}");
-                pause(&mut wait).await;
+                back_off(&mut wait).await;
             }
             log::info!(epoch; "join: this box is known to the restored platform");
         }
     }
 
-    /// Returns key and value of this box's record.
+    /// Returns the key and value of this box's record.
     fn own_record(&self) -> (String, BoxRecord) {
         let settings = &self.mesh.settings;
         let key = format!("{}{}", self.mesh.decoder.keys().boxes, settings.name);
         (key, BoxRecord { peer: settings.peer, hall: settings.hall.clone() })
     }
 
-    /// Makes this box known to the platform; returns the epoch in which it is.
+    /// Registers this box with the platform and returns the epoch of its record.
     async fn try_register(&self) -> Result<u64, PlatformError> {
         let prefix = &self.mesh.decoder.keys().boxes;
         let (key, record) = self.own_record();
         let all = self.platform.list(prefix, Freshness::Stale).await?;
-        self.mesh.learn_records(&all);
-        let stands = all.objects.iter().find(|o| o.key == key);
-        let epoch = if stands.is_some_and(|o| record.is_same(&o.value)) {
+        self.mesh.add_records(&all);
+        let stored = all.objects.iter().find(|o| o.key == key);
+        let epoch = if stored.is_some_and(|o| record.matches(&o.value)) {
             all.version.epoch
         } else {
             self.mesh.unknown.store(true, Ordering::Relaxed);
@@ -154,40 +156,42 @@
         Ok(epoch)
     }
 
-    /// Writes this box's record if it is not there; returns the epoch in which it is.
+    /// Writes this box's record unless it exists, and returns its epoch.
     async fn write_record(&self, key: &str, record: &BoxRecord) -> Result<u64, PlatformError> {
-        let value = Bytes::from(serde_json::to_vec(record).expect("a record is plain data"));
-        let written = match self.platform.put(key, value.clone(), Expect::Absent).await {
+        let value = Bytes::from(
+            serde_json::to_vec(record).expect("a record of plain data is serializable"),
+        );
+        let error = match self.platform.put(key, value.clone(), Expect::Absent).await {
             Ok(version) => return Ok(version.epoch),
             Err(e) => e,
         };
-        // It stands from an earlier life, or the write may have been done.
+        // The record may exist from an earlier run, or the failed write may have succeeded.
         match self.platform.get(key).await? {
-            Some(o) if record.is_same(&o.value) => Ok(o.version.epoch),
+            Some(o) if record.matches(&o.value) => Ok(o.version.epoch),
             Some(o) => {
                 let put = self.platform.put(key, value, Expect::Version(o.version)).await;
                 put.map(|version| version.epoch)
             }
-            None => Err(written),
+            None => Err(error),
         }
     }
 }
 
-/// Returns how fresh the next answer must be; old ones may be from before a restore.
-const fn after_failure(fresh: Freshness, e: &PlatformError) -> Freshness {
+/// Returns the freshness required of the next read, since stale reads may predate a restore.
+const fn next_freshness(fresh: Freshness, e: &PlatformError) -> Freshness {
     if e.has_lost_place() { Freshness::Latest } else { fresh }
 }
 
 impl BoxRecord {
-    /// Returns whether what stands in the store is this record.
-    fn is_same(&self, stands: &[u8]) -> bool {
-        serde_json::from_slice::<Self>(stands).is_ok_and(|r| r == *self)
+    /// Returns whether a stored value decodes to this record.
+    fn matches(&self, stored: &[u8]) -> bool {
+        serde_json::from_slice::<Self>(stored).is_ok_and(|r| r == *self)
     }
 }
 
 impl Mesh {
-    /// Applies the addresses of boxes as stored.
-    fn learn_records(&self, all: &Changes) {
+    /// Adds the stored addresses of boxes to the address book.
+    fn add_records(&self, all: &Changes) {
         let prefix = &self.decoder.keys().boxes;
         for o in &all.objects {
             let name = o.key.strip_prefix(prefix.as_str()).unwrap_or(&o.key);
@@ -195,7 +199,7 @@
                 Ok(r) => {
                     self.learn(BoxAddress { id: NameId::of(name), addr: r.peer, hall: r.hall });
                 }
-                Err(e) => log::warn!(key = o.key.as_str(); "join: {name} left out, {e}"),
+                Err(e) => log::warn!(key = o.key.as_str(); "join: skipped {name}: {e}"),
             }
         }
     }
--- a/crates/honeypulley_mesh/src/lib.rs
+++ b/crates/honeypulley_mesh/src/lib.rs
@@ -1,11 +1,10 @@
-//! How boxes act together on a platform that keeps configuration and lists.
+//! Cooperation of boxes on a platform that stores configuration and lists of upstreams.
 //!
-//! A few boxes read the platform's store ([`readers`]); the others hear of
-//! changes by datagram and pull what they miss ([`peers`]). Each box keeps the
-//! list of upstreams ([`list`]), the addresses of the other boxes ([`book`]) and
-//! the routing table, and feeds them to the serving thread ([`serving`]). A box that
-//! misses changes of the list knows it and asks for them ([`catch_up`]). What one box
-//! sees of an upstream reaches all others at once.
+//! A few boxes read the platform's store ([`readers`]). The others receive changes by datagram
+//! and pull what they lack ([`peers`]). Each box keeps the list of upstreams ([`list`]), the
+//! addresses of the other boxes ([`book`]) and the routing table, and passes them to the serving
+//! thread ([`serving`]). A box detects gaps in the changes of the list and requests the missing
+//! ones ([`catch_up`]). What a box observes of an upstream is broadcast to all others at once.
 
 pub mod admin;
 pub mod book;
@@ -29,7 +28,7 @@
 pub mod told;
 pub mod tree;
 
-/// The names most users of this crate need.
+/// Commonly used types of this crate.
 pub mod prelude {
     pub use crate::{
         decoder::{Decoder, StoreKeys},
--- a/crates/honeypulley_mesh/src/serving.rs
+++ b/crates/honeypulley_mesh/src/serving.rs
@@ -1,4 +1,4 @@
-//! The serving thread's side: routes in force, the policy, and its news.
+//! Routing and balancing on the serving thread, and the news that they produce.
 
 use crate::doubts::DoubtLog;
 use crate::list::ListChange;
@@ -23,10 +23,10 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// `Retry-After` while this box is not set up.
-const NOT_YET_WAIT: Duration = Duration::from_millis(400);
+/// Minimum `Retry-After` while this box lacks a table or list.
+const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(400);
 
-/// A balancer and the organisations' limits, which hand their news on at once.
+/// A balancer and the organisations' limits, whose news is queued for broadcast at once.
 #[derive(Debug)]
 pub struct Announcer {
     balancer: Balancer,
@@ -35,24 +35,25 @@
 }
 
 impl Announcer {
-    /// Wraps a balancer and limits; their news go to the other boxes of `mesh`.
+    /// Wraps a balancer and limits, whose news is sent to the other boxes of `mesh`.
     #[must_use]
     pub const fn new(balancer: Balancer, limits: FleetLimits, mesh: Arc<Mesh>) -> Self {
         Self { balancer, limits, mesh }
     }
 
-    /// Returns the balancer, to be updated by what other duties received.
+    /// Returns the balancer, to be updated with what other duties received.
     pub const fn balancer(&mut self) -> &mut Balancer {
         &mut self.balancer
     }
 
-    /// Returns the organisations' limits, to be updated by what other duties received.
+    /// Returns the organisations' limits, to be updated with what other duties received.
     pub const fn limits(&mut self) -> &mut FleetLimits {
         &mut self.limits
     }
 
+    /// Queues pending news for broadcast.
     fn announce(&mut self) {
-        // An admission first, which then leaves with the attempt that follows it.
+        // Admissions come first, so that one is sent with the attempt that follows it.
         let news = self.limits.take_news().into_iter().chain(self.balancer.take_news());
         news.for_each(|n| self.mesh.news_out.push(n));
     }
@@ -60,21 +61,21 @@
     /// Admits one request of an organisation, if its fleet-wide limit allows it.
     ///
     /// # Errors
-    /// Returns the time until a request fits.
+    /// Returns the time until the limit allows another request.
     fn admit(&mut self, organisation: NameId, now: Time) -> Result<(), Duration> {
         self.set_scope(now);
         let admitted = self.limits.admit(organisation, now);
-        self.tell_limits(now);
+        self.prepare_limit_reports(now);
         admitted
     }
 
-    /// Updates the boxes that share the limits, before anything is counted or broadcast.
+    /// Updates the boxes that share the limits; runs before any count or broadcast.
     fn set_scope(&mut self, now: Time) {
         self.limits.set_scope(self.mesh.limit_scope(now));
     }
 
-    /// Applies a peer's admissions for an organisation.
-    fn heard_limit(&mut self, from: NameId, news: News, now: Time) {
+    /// Applies admissions that a peer or another data hall reported.
+    fn apply_limit_news(&mut self, from: NameId, news: News, now: Time) {
         match news {
             News::Admitted { subject, sum } => {
                 self.limits.heard_box(from, subject, sum, now);
@@ -86,10 +87,10 @@
         }
     }
 
-    /// Makes what the other data halls are to know of the limits, to be announced next.
-    fn tell_limits(&mut self, now: Time) {
+    /// Prepares the reports on limits that are due to the other data halls.
+    fn prepare_limit_reports(&mut self, now: Time) {
         for organisation in self.limits.due(now) {
-            if let Some(rank) = self.mesh.teller_rank(organisation, now) {
+            if let Some(rank) = self.mesh.announcer_rank(organisation, now) {
                 self.limits.tell(organisation, rank, now);
             }
         }
@@ -177,43 +178,43 @@
     }
 }
 
-/// Routes of the table in force.
+/// Routes requests by the table in force.
 #[derive(Clone, Debug)]
 pub struct TableRoutes {
-    /// State of the box.
+    /// Shared state of this box.
     pub mesh: Arc<Mesh>,
-    /// The policy.
+    /// Balancer and limits.
     pub policy: Arc<Mutex<Announcer>>,
 }
 
 impl Routes for TableRoutes {
     fn settling(&self) -> Option<BoxFuture<'_, ()>> {
-        let setup = &self.mesh.setup;
-        setup.is_awaited().then(|| -> BoxFuture<'_, ()> { Box::pin(setup.settled()) })
+        let startup = &self.mesh.startup;
+        startup.is_pending().then(|| -> BoxFuture<'_, ()> { Box::pin(startup.wait_settled()) })
     }
 
     fn route(&self, wanted: &Wanted<'_>, now: Time) -> Result<Routed, OwnAnswer> {
         let Some(table) = self.mesh.in_force.load_full() else {
-            return Err(not_yet("no routing table is in force on this box yet".to_owned()));
+            return Err(not_ready("no routing table is in force on this box yet".to_owned()));
         };
         let (host, path) = (wanted.host, wanted.path);
         let Some(route) = table.find(host, path) else {
-            return Err(self.unknown(wanted, table.version, now));
+            return Err(self.no_route(wanted, table.version, now));
         };
-        let organisation = self.organisation(&table, route, wanted, now)?;
-        let rank = organisation.as_ref().and_then(|o| o.priority).unwrap_or(route.priority);
+        let organisation = self.caller_organisation(&table, route, wanted, now)?;
+        let priority = organisation.as_ref().and_then(|o| o.priority).unwrap_or(route.priority);
         let name = route.target(fastrand::f64());
         let mut policy = self.policy.lock();
         let Some(service) = policy.balancer().service(name) else {
-            return Err(not_yet(format!("service {name} is not set up on this box yet")));
+            return Err(not_ready(format!("service {name} is not set up on this box yet")));
         };
         self.mesh.share(policy.balancer(), now);
         policy.balancer().arrived(service, now);
         if let Some(o) = &organisation
             && let Err(wait) = policy.admit(o.id, now)
         {
-            let known = policy.limits().usage_of(o.id, now);
-            return Err(over_limit(wanted.request, o, wait, known.unwrap_or_default()));
+            let usage = policy.limits().usage_of(o.id, now);
+            return Err(over_limit(wanted.request, o, wait, usage.unwrap_or_default()));
         }
         let belongs = match (&table.organisations, organisation) {
             (None, _) => Belongs::Unasked,
@@ -225,7 +226,7 @@
             ask: Ask {
                 service,
                 repeatable: route.kind.is_repeatable(),
-                priority: rank,
+                priority,
                 bulky: route.kind == RequestKind::Download,
                 aim: route.aim,
                 left: None,
@@ -244,9 +245,9 @@
 impl TableRoutes {
     /// Refuses a request for which the table has no route.
     ///
-    /// A box that is out of touch with the platform may miss a newer table, so
-    /// it does not say that there is no such route.
-    fn unknown(&self, wanted: &Wanted<'_>, version: u64, now: Time) -> OwnAnswer {
+    /// A box that is out of touch with the platform may lack a newer table, so it asks the
+    /// caller to retry and does not answer that the route does not exist.
+    fn no_route(&self, wanted: &Wanted<'_>, version: u64, now: Time) -> OwnAnswer {
         let (host, path) = (wanted.host, wanted.path);
         let in_touch = self.mesh.readers().in_touch(now);
         log::info!(
@@ -254,18 +255,20 @@
             "route: refused, no route"
         );
         if !in_touch {
-            return not_yet(format!("no route for {host}{path}, and the table may be old"));
+            return not_ready(format!("no route for {host}{path}, and the table may be old"));
         }
         let why = format!("no route for {host}{path}");
         OwnAnswer::not_run(StatusCode::NOT_FOUND, None, why)
     }
 
-    /// Finds whose request it is; `None` if its route or table does not ask.
+    /// Returns the organisation that holds the caller's key.
+    ///
+    /// Returns `None` if the route is public or the table has no organisations.
     ///
     /// # Errors
     /// Returns our own answer if no organisation of the table holds the caller's key. As with
-    /// routes, a box that may miss a newer table does not say that the key is unknown.
-    fn organisation(
+    /// routes, a box that may lack a newer table does not answer that the key is unknown.
+    fn caller_organisation(
         &self,
         table: &RouteTable,
         route: &Route,
@@ -285,41 +288,44 @@
             "route: refused, no organisation holds the caller's key"
         );
         if has_key && !in_touch {
-            return Err(not_yet("the key is not known here, and the table may be old".to_owned()));
+            return Err(not_ready(
+                "the key is not known here, and the table may be old".to_owned(),
+            ));
         }
         let why = if has_key { "no organisation holds this key" } else { "one key is needed" };
         Err(OwnAnswer::not_run(StatusCode::UNAUTHORIZED, None, why.to_owned()))
     }
 }
 
-/// Refuses a request beyond its organisation's limit, with when there is room again.
-fn over_limit(request: &str, o: &Organisation, wait: Duration, known: LimitUse) -> OwnAnswer {
+/// Refuses a request over its organisation's limit, with a time to retry after.
+fn over_limit(request: &str, o: &Organisation, wait: Duration, usage: LimitUse) -> OwnAnswer {
     log::info!(
-        request, organisation = &*o.name, rate = known.rate as f32, level = known.level as f32,
-        hall = known.hall, others = known.others,
-        others_age_ms = known.age.map(|d| d.as_millis() as u64),
+        request, organisation = &*o.name, rate = usage.rate as f32, level = usage.level as f32,
+        hall = usage.hall, others = usage.others,
+        others_age_ms = usage.age.map(|d| d.as_millis() as u64),
         wait_ms = wait.as_millis() as u64;
         "route: refused, its organisation is over its limit"
     );
-    // Callers that were rejected together return spread out.
-    let spread = wait.mul_f64(1.0 + fastrand::f64());
+    // Jitter, so that callers refused together don't retry together.
+    let retry_after = wait.mul_f64(1.0 + fastrand::f64());
     let why = format!("{} sends more than its limit allows", o.name);
-    OwnAnswer::not_run(StatusCode::TOO_MANY_REQUESTS, Some(spread), why)
+    OwnAnswer::not_run(StatusCode::TOO_MANY_REQUESTS, Some(retry_after), why)
 }
 
-fn not_yet(why: String) -> OwnAnswer {
-    let wait = NOT_YET_WAIT.mul_f64(1.0 + fastrand::f64() / 2.0);
-    OwnAnswer::not_run(StatusCode::SERVICE_UNAVAILABLE, Some(wait), why)
+/// Refuses a request that this box can't route yet, with a time to retry after.
+fn not_ready(why: String) -> OwnAnswer {
+    let retry_after = NOT_READY_RETRY_AFTER.mul_f64(1.0 + fastrand::f64() / 2.0);
+    OwnAnswer::not_run(StatusCode::SERVICE_UNAVAILABLE, Some(retry_after), why)
 }
 
-/// Feeds the policy and the routes, on the serving thread.
+/// Applies tables, lists and news to the policy on the serving thread.
 #[derive(Debug)]
 pub struct Pump {
-    /// State of the box.
+    /// Shared state of this box.
     pub mesh: Arc<Mesh>,
-    /// The policy.
+    /// Balancer and limits.
     pub policy: Arc<Mutex<Announcer>>,
-    /// Lines of what other boxes put in doubt.
+    /// Rate-limited log of the doubts that other boxes raise.
     pub doubts: Mutex<DoubtLog>,
 }
 
@@ -327,17 +333,17 @@
 impl Feeder for Pump {
     async fn feed(&self) {
         loop {
-            self.take_lists();
+            self.apply_updates();
             tokio::select! {
                 () = self.mesh.serving.notified() => {}
-                (from, news) = self.mesh.news_in.next() => self.take_news(from, news),
-                asker = self.mesh.asked.next() => {
+                (from, news) = self.mesh.news_in.next() => self.apply_news(from, news),
+                requester = self.mesh.asked.next() => {
                     let now = self.mesh.now();
                     let mut policy = self.policy.lock();
-                    let mut told = policy.balancer().spendings(now);
-                    told.extend(policy.balancer().beliefs(now));
+                    let mut replies = policy.balancer().spendings(now);
+                    replies.extend(policy.balancer().beliefs(now));
                     drop(policy);
-                    self.mesh.beliefs.push((asker, told));
+                    self.mesh.beliefs.push((requester, replies));
                 }
             }
         }
@@ -345,7 +351,8 @@
 }
 
 impl Pump {
-    fn take_news(&self, from: NameId, first: News) {
+    /// Applies a received piece of news and all news queued behind it.
+    fn apply_news(&self, from: NameId, first: News) {
         let mut policy = self.policy.lock();
         let now = self.mesh.now();
         policy.set_scope(now);
@@ -353,7 +360,7 @@
         let mut beliefs = 0;
         while let Some((from, news)) = next {
             beliefs += usize::from(matches!(news, News::Belief { .. }));
-            policy.heard_limit(from, news, now);
+            policy.apply_limit_news(from, news, now);
             if let News::Leaving { upstream } = news
                 && let Some(upstream) = policy.balancer().learn_leaving(upstream)
             {
@@ -364,18 +371,19 @@
             }
             next = self.mesh.news_in.pop();
         }
-        policy.tell_limits(now);
+        policy.prepare_limit_reports(now);
         policy.announce();
         if beliefs > 0 {
             log::info!(beliefs; "news: {beliefs} beliefs of another box are taken");
         }
     }
 
-    fn take_lists(&self) {
+    /// Puts a new routing table in force and applies pending changes of the list.
+    fn apply_updates(&self) {
         let mut policy = self.policy.lock();
         let now = self.mesh.now();
-        // Services first, so that no route leads to one that is not set up.
-        if let Some(table) = self.mesh.next_table() {
+        // Services come first, so that no route leads to a service that is not set up.
+        if let Some(table) = self.mesh.take_next_table() {
             policy.balancer().set_services(&table.services, now);
             let limits = table.organisations.iter().flat_map(Organisations::limits);
             policy.limits().set_limits(limits);
@@ -389,8 +397,8 @@
                 ListChange::Gone(name) => policy.balancer().remove_upstream(&name),
             }
         }
-        if listed && self.mesh.setup.is_awaited() && self.mesh.in_force.load().is_some() {
-            self.mesh.setup.complete();
+        if listed && self.mesh.startup.is_pending() && self.mesh.in_force.load().is_some() {
+            self.mesh.startup.mark_complete();
         }
     }
 }
--- a/crates/honeypulley_mesh/src/state.rs
+++ b/crates/honeypulley_mesh/src/state.rs
@@ -1,4 +1,4 @@
-//! What the duties of one box share.
+//! State that the duties of one box share.
 
 use crate::book::Book;
 use crate::catch_up::CatchUp;
@@ -6,7 +6,7 @@
 use crate::epoch::Epoch;
 use crate::lists::Lists;
 use crate::readers::Readers;
-use crate::setup::Setup;
+use crate::setup::Startup;
 use arc_swap::ArcSwapOption;
 use bytes::Bytes;
 use honeypulley_observe::metrics::Registry;
@@ -32,22 +32,22 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// Link below which a box leaves reading to others, in megabits a second.
+/// Link bandwidth in Mbit/s below which a box avoids the role of reader.
 ///
 /// A reader broadcasts each change to its whole data hall at once.
-const NARROW_MBPS: f64 = 50.0;
+const SLOW_LINK_MBPS: f64 = 50.0;
 
-/// Boxes that ask for beliefs at one time, above those that one box is asked by.
-const ASKED: usize = 64;
+/// Capacity of the queues of belief requests and replies; beyond it the oldest is dropped.
+const BELIEF_QUEUE_SIZE: usize = 64;
 
-/// Boxes of a data hall that may announce one subject.
+/// Boxes of a data hall that announce the totals of one subject to the other halls.
 ///
-/// The second one stands in where the first is unreachable; both are lost for the 5 s in which
-/// a silent box counts as there only if both were lost within them.
-const TELLERS: usize = 2;
+/// The second covers for the first. A silent box counts as present for 5 s, so an announcement is
+/// missed only if both boxes fail within that time.
+const ANNOUNCERS: usize = 2;
 
-/// Age reported of a list that was never complete.
-const NEVER: Duration = Duration::from_secs(3_600);
+/// Age reported for a list that was never complete.
+const UNKNOWN_AGE: Duration = Duration::from_secs(3_600);
 
 /// Settings of one box of the mesh.
 #[derive(Clone, Debug, bon::Builder)]
@@ -55,43 +55,46 @@
     /// Name of the box.
     #[builder(into)]
     pub name: String,
-    /// Its data hall.
+    /// Data hall of the box.
     #[builder(into)]
     pub hall: String,
-    /// Address of its peers' port.
+    /// Address on which the box talks to its peers.
     pub peer: SocketAddr,
-    /// Peers' ports of some boxes, perhaps stale.
+    /// Peer addresses of some boxes; they may be out of date.
     #[builder(default)]
     pub seeds: Vec<SocketAddr>,
-    /// The fleet's shared key.
+    /// Shared key of the fleet, which authenticates messages between boxes.
     pub key: FleetKey,
-    /// Megabits a second of the box's link, if known.
+    /// Bandwidth of the box's link in Mbit/s, if known.
     pub link_mbps: Option<f64>,
-    /// Whether the whole fleet starts for the first time.
+    /// Whether this is the first start of the whole fleet.
     #[builder(default)]
     pub first_start: bool,
 }
 
-/// The routing table as this box holds it.
+/// The newest routing table that this box has received, in stored form.
 #[derive(Clone, Debug, Default)]
 struct HeldTable {
-    object: Revision,
+    /// Revision of the table's object in the store.
+    revision: Revision,
     number: u64,
     raw: Bytes,
 }
 
 impl HeldTable {
-    /// Keeps this table in place of one of the same number or an older one.
-    fn keep(&mut self, number: u64, other: &Object, from: &str) {
+    /// Handles a received table whose number is not higher than that of this one.
+    ///
+    /// The same table at a newer revision updates the revision; any other table is dropped.
+    fn handle_not_newer(&mut self, number: u64, other: &Object, from: &str) {
         let (held, object) = (self.number, other.version);
         if number == held && other.value == self.raw {
-            self.object = self.object.max(object);
+            self.revision = self.revision.max(object);
         } else if number == held {
             log::warn!(
                 version = held, object:display, from;
-                "table: version {held} dropped, its number is held with other content"
+                "table: version {held} dropped, this box holds that version with other content"
             );
-        } else if object > self.object {
+        } else if object > self.revision {
             log::info!(
                 version = number, held, object:display, from;
                 "table: version {number} dropped, version {held} is held"
@@ -103,51 +106,51 @@
 /// State that the duties of one box share.
 #[derive(Debug)]
 pub struct Mesh {
-    /// Settings.
+    /// Settings of this box.
     pub settings: MeshSettings,
-    /// This box on the wire.
+    /// Identifier of this box in messages.
     pub id: NameId,
-    /// The process's clock.
+    /// Clock of the process.
     pub clock: Clock,
-    /// Reader of the platform's objects.
+    /// Decoder of the platform's objects.
     pub decoder: Arc<dyn Decoder>,
-    /// Routing table in force, set by the serving thread.
+    /// Routing table in force; set by the serving thread.
     pub in_force: ArcSwapOption<RouteTable>,
-    /// What this box saw, for the other boxes.
+    /// News of this box, to be sent to the other boxes.
     pub news_out: Ring<News>,
-    /// What other boxes saw, for the serving thread.
+    /// News received from other boxes, for the serving thread.
     pub news_in: Ring<(NameId, News)>,
-    /// What this box knows of requests under which upstreams ended, for the other boxes.
+    /// News of requests during which upstreams failed, to be sent to the other boxes.
     pub requests_out: Ring<RequestNews>,
-    /// Boxes that have just started and ask what this one believes of upstreams.
+    /// Boxes that have just started and request this box's beliefs about upstreams.
     pub asked: Ring<SocketAddr>,
-    /// What this box believes, and which box asked for it.
+    /// Replies to those requests, each with the address of the requesting box.
     pub beliefs: Ring<(SocketAddr, Vec<News>)>,
-    /// Wakes the serving thread for a table or changes of the list.
+    /// Wakes the serving thread after a change of the table or the list.
     pub serving: Notify,
-    /// Wakes the peers' duty to tell what is new.
+    /// Wakes the peer duty to broadcast news.
     pub telling: Notify,
-    /// Wakes the peers' duty to pull a table that this box misses.
+    /// Wakes the peer duty to pull a missing routing table.
     pub pulling: Notify,
-    /// Wakes the peers' duty to ask for changes of the list that this box misses.
+    /// Wakes the peer duty to request missing changes of the list.
     pub asking: Notify,
-    /// Wakes the store's duty to read the list, since no peer has sent it.
+    /// Wakes the store duty to reread the list, since no peer has sent the changes.
     pub rereading: Notify,
-    /// Wakes the peers' duty when the store has named other boxes.
+    /// Wakes the peer duty when other boxes were found in the store.
     pub greeting: Notify,
-    /// Wakes the store's duty when this box begins to read.
-    pub reading: Notify,
+    /// Wakes the store duty when this box becomes or ceases to be a reader.
+    pub reader_changed: Notify,
     /// Wakes tasks that must reread the platform after a restore.
     pub restored: Notify,
-    /// Wakes whoever waits for a newer table of this box.
-    pub table_taken: Notify,
-    /// What a box that has just started waits for.
-    pub setup: Setup,
-    /// Set when the list was taken once.
+    /// Wakes tasks that wait for a newer routing table.
+    pub table_received: Notify,
+    /// Progress of this box's startup.
+    pub startup: Startup,
+    /// Set once the list of upstreams has been received.
     pub listed: AtomicBool,
-    /// Set while the other boxes may not know this one's address.
+    /// Set while the other boxes may not know this box's address.
     pub unknown: AtomicBool,
-    /// Set during a planned stop.
+    /// Set during a planned shutdown.
     pub leaving: Arc<AtomicBool>,
     seeds: Mutex<Vec<SocketAddr>>,
     pub(crate) registry: Registry,
@@ -159,19 +162,19 @@
     missed: Mutex<Option<MissedTable>>,
     catch_up: Mutex<CatchUp>,
     pub(crate) quarantine: Mutex<Quarantine>,
-    /// Entries read that name no upstream.
+    /// Number of entries read that describe no upstream.
     pub(crate) foreign: AtomicU64,
     pub(crate) epoch: Epoch,
 }
 
-/// A routing table that was announced to this box and that it does not have.
+/// A routing table that was announced to this box and not received yet.
 #[derive(Clone, Copy, Debug)]
 pub struct MissedTable {
-    /// Its number.
+    /// Number of the table.
     pub number: u64,
-    /// The reader that announced it.
+    /// Reader that first announced it.
     pub origin: NameId,
-    /// The box whose datagram announced it, possibly a forwarder.
+    /// Address of the box whose datagram announced it; it may be a forwarder.
     pub via: SocketAddr,
 }
 
@@ -185,7 +188,7 @@
         leaving: Arc<AtomicBool>,
     ) -> Self {
         let id = NameId::of(&settings.name);
-        let narrow = settings.link_mbps.is_some_and(|l| l < NARROW_MBPS);
+        let is_slow = settings.link_mbps.is_some_and(|l| l < SLOW_LINK_MBPS);
         Self {
             id,
             clock,
@@ -194,18 +197,18 @@
             news_out: Ring::new(4_096, Full::DropOldest),
             news_in: Ring::new(16_384, Full::DropOldest),
             requests_out: Ring::new(1_024, Full::DropOldest),
-            asked: Ring::new(ASKED, Full::DropOldest),
-            beliefs: Ring::new(ASKED, Full::DropOldest),
+            asked: Ring::new(BELIEF_QUEUE_SIZE, Full::DropOldest),
+            beliefs: Ring::new(BELIEF_QUEUE_SIZE, Full::DropOldest),
             serving: Notify::new(),
             telling: Notify::new(),
             pulling: Notify::new(),
             asking: Notify::new(),
             rereading: Notify::new(),
             greeting: Notify::new(),
-            reading: Notify::new(),
+            reader_changed: Notify::new(),
             restored: Notify::new(),
-            table_taken: Notify::new(),
-            setup: Setup::default(),
+            table_received: Notify::new(),
+            startup: Startup::default(),
             listed: AtomicBool::new(false),
             unknown: AtomicBool::new(settings.first_start),
             leaving,
@@ -214,7 +217,7 @@
             book: Mutex::new(Book::new(id, &settings.hall)),
             lists: Mutex::new(Lists::default()),
             catch_up: Mutex::new(CatchUp::new(settings.first_start)),
-            readers: Mutex::new(Readers::new(id).reluctant(narrow)),
+            readers: Mutex::new(Readers::new(id).reluctant(is_slow)),
             table: Mutex::new(HeldTable::default()),
             next_table: Mutex::new(None),
             missed: Mutex::new(None),
@@ -225,67 +228,67 @@
         }
     }
 
-    /// Shows these metrics beside its own.
+    /// Exposes the metrics of this registry beside the mesh's own.
     #[must_use]
     pub fn with_metrics(mut self, registry: Registry) -> Self {
         self.registry = registry;
         self
     }
 
-    /// Returns the time now.
+    /// Returns the current time.
     #[must_use]
     pub fn now(&self) -> Time {
         self.clock.now()
     }
 
-    /// Locks the addresses of boxes; hold it briefly.
+    /// Locks the address book; the guard must be held only briefly.
     pub fn book(&self) -> MutexGuard<'_, Book> {
         self.book.lock()
     }
 
-    /// Locks what is known of the readers; hold it briefly.
+    /// Locks the state of the readers; the guard must be held only briefly.
     pub fn readers(&self) -> MutexGuard<'_, Readers> {
         self.readers.lock()
     }
 
-    /// Returns peers' ports of some boxes, perhaps stale.
+    /// Returns peer addresses of some boxes; they may be out of date.
     #[must_use]
     pub fn seeds(&self) -> Vec<SocketAddr> {
         self.seeds.lock().clone()
     }
 
-    /// Replaces the seeds after a change of the settings.
+    /// Replaces the seed addresses after a reload of the settings.
     pub fn set_seeds(&self, seeds: Vec<SocketAddr>) {
         *self.seeds.lock() = seeds;
     }
 
-    /// Records an address; returns whether it was new.
+    /// Records the address of a box; returns whether it was new.
     pub fn learn(&self, b: BoxAddress) -> bool {
         self.book.lock().learn(b)
     }
 
-    /// Tells a balancer with which boxes this one shares what is counted over the whole fleet.
+    /// Updates a balancer's view of the boxes that share its fleet-wide counts.
     pub fn share(&self, balancer: &mut Balancer, now: Time) {
         let book = self.book.lock();
         balancer.set_reach(Reach { boxes: book.count(), in_touch: book.hears_others(now) });
         balancer.set_halls(book.halls(), book.is_alone(now));
     }
 
-    /// Returns with which boxes this one shares the organisations' limits.
+    /// Returns the boxes and data halls that share the organisations' limits.
     #[must_use]
     pub fn limit_scope(&self, now: Time) -> Scope {
         let book = self.book.lock();
         Scope { boxes: book.count(), halls: book.halls().len(), alone: book.is_alone(now) }
     }
 
-    /// Returns this box's turn in telling other data halls of a subject, if it has one.
+    /// Returns this box's rank among its hall's announcers of a subject, if it is one.
     #[must_use]
-    pub fn teller_rank(&self, subject: NameId, now: Time) -> Option<usize> {
+    pub fn announcer_rank(&self, subject: NameId, now: Time) -> Option<usize> {
         let rank = self.book.lock().rank(subject, now);
-        (rank < TELLERS).then_some(rank)
+        (rank < ANNOUNCERS).then_some(rank)
     }
 
-    /// Returns what this box has, to be broadcast.
+    /// Returns the beacon that this box broadcasts.
     #[must_use]
     pub fn beacon(&self) -> Beacon {
         let now = self.now();
@@ -299,18 +302,18 @@
             reader: readers.is_reading(),
             read_age: readers.read_age(now),
             unable: readers.is_unable(),
-            list_age: list.age.unwrap_or(NEVER),
+            list_age: list.age.unwrap_or(UNKNOWN_AGE),
         }
     }
 
-    /// Applies the routing table as stored.
+    /// Decodes a stored routing table and applies it if its number is higher.
     ///
-    /// An older one, by its number, is dropped: a box never goes back. Positions in the store
-    /// are no measure of that.
+    /// A box never reverts to a table of a lower number. Store revisions are not compared, since
+    /// an older table may be written again at a newer revision.
     pub fn take_table(&self, o: &Object, from: &str) {
         {
             let held = self.table.lock();
-            if o.version == held.object && held.number > 0 {
+            if o.version == held.revision && held.number > 0 {
                 return;
             }
         }
@@ -323,26 +326,26 @@
         };
         let mut held = self.table.lock();
         if table.version <= held.number {
-            held.keep(table.version, o, from);
+            held.handle_not_newer(table.version, o, from);
             return;
         }
         let (number, routes) = (table.version, table.len());
-        *held = HeldTable { object: o.version, number, raw: o.value.clone() };
+        *held = HeldTable { revision: o.version, number, raw: o.value.clone() };
         drop(held);
-        log::info!(version = number, object:display = o.version, routes, from; "table: version {number} taken");
+        log::info!(version = number, object:display = o.version, routes, from; "table: version {number} received");
         *self.next_table.lock() = Some(Arc::new(table));
-        self.table_taken.notify_waiters();
+        self.table_received.notify_waiters();
         self.serving.notify_one();
         self.telling.notify_one();
     }
 
-    /// Returns the routing table that the serving thread is to put in force.
+    /// Takes the routing table that the serving thread is to put in force.
     #[must_use]
-    pub fn next_table(&self) -> Option<Arc<RouteTable>> {
+    pub fn take_next_table(&self) -> Option<Arc<RouteTable>> {
         self.next_table.lock().take()
     }
 
-    /// Records a beacon: who reads, and what there is that this box misses.
+    /// Processes a peer's beacon: its role as reader, and versions that this box lacks.
     pub fn take_beacon(&self, id: NameId, via: SocketAddr, b: Beacon) {
         let now = self.now();
         let epoch = b.epoch.max(b.list.epoch);
@@ -361,7 +364,7 @@
         self.heard_of_list(b.list, id, via);
     }
 
-    /// Returns the routing table that this box still misses.
+    /// Returns the announced routing table that this box still lacks.
     #[must_use]
     pub fn missed_table(&self) -> Option<MissedTable> {
         let mut missed = self.missed.lock();
@@ -370,32 +373,32 @@
         *missed
     }
 
-    /// Locks what this box does about changes that it misses; hold it briefly.
+    /// Locks the catch-up state; the guard must be held only briefly.
     pub fn catch_up(&self) -> MutexGuard<'_, CatchUp> {
         self.catch_up.lock()
     }
 
-    /// Ends once this box holds a table of at least this number.
+    /// Waits until this box holds a routing table of at least this number.
     pub async fn table_reached(&self, number: u64) {
         loop {
-            let mut taken = pin!(self.table_taken.notified());
-            // A table that comes between the look and the wait must not be missed.
-            taken.as_mut().enable();
+            let mut received = pin!(self.table_received.notified());
+            // Registers before the check, so that a table received in between wakes this task.
+            received.as_mut().enable();
             if self.table_number() >= number {
                 return;
             }
-            taken.await;
+            received.await;
         }
     }
 
-    /// Returns the routing table for a box that asks.
+    /// Returns the held routing table, to be sent to a peer.
     #[must_use]
     pub fn held_table(&self) -> Held<Bytes> {
         let held = self.table.lock();
-        Held { version: held.object, value: held.raw.clone() }
+        Held { version: held.revision, value: held.raw.clone() }
     }
 
-    /// Returns the number of the table held, zero if there is none.
+    /// Returns the number of the held routing table, or zero if there is none.
     #[must_use]
     pub fn table_number(&self) -> u64 {
         self.table.lock().number
--- a/crates/honeypulley_mesh/src/store.rs
+++ b/crates/honeypulley_mesh/src/store.rs
@@ -1,4 +1,4 @@
-//! Reads the platform's store, if this box is one of its readers.
+//! Reads and watches the platform's store while this box is a reader.
 
 use crate::readers::{LOOK_GAP, WATCH_WAIT};
 use crate::state::Mesh;
@@ -9,27 +9,28 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// First wait after a call that failed; doubles with each failure.
-pub(crate) const FIRST_WAIT: Duration = Duration::from_millis(150);
-/// Longest such wait.
-const MAX_WAIT: Duration = Duration::from_millis(1_000);
-/// Time in which the reader that broadcasts changes gathers them after one has arrived.
+/// Initial backoff after a failed call; it doubles with each further failure.
+pub(crate) const MIN_BACKOFF: Duration = Duration::from_millis(150);
+/// Upper bound of that backoff.
+const MAX_BACKOFF: Duration = Duration::from_millis(1_000);
+/// Delay between watches on the broadcasting reader, so that changes are batched.
 ///
-/// Each change wakes the watch of every reader. A single change is not delayed.
-const FIRST_GATHER: Duration = Duration::from_millis(80);
-/// The same for the other readers, which broadcast only what that one did not.
-const OTHER_GATHER: Duration = Duration::from_millis(250);
-/// Time after a start in which no box begins to read, so that beacons reach all.
-const SETTLE_TIME: Duration = Duration::from_millis(700);
-/// The same where the whole fleet starts for the first time, and boxes know few others yet.
-const FIRST_SETTLE_TIME: Duration = Duration::from_millis(1_300);
+/// Each change wakes the watch of every reader. The delay follows the delivery of a change, so a
+/// single change is not held back.
+const BROADCASTER_BATCH_DELAY: Duration = Duration::from_millis(80);
+/// The same delay on the other readers, which broadcast only what that reader has not.
+const STANDBY_BATCH_DELAY: Duration = Duration::from_millis(250);
+/// Time after startup before any box becomes a reader, so that beacons spread.
+const STARTUP_DELAY: Duration = Duration::from_millis(700);
+/// The same at the first start of a whole fleet, when boxes know few peers yet.
+const FIRST_STARTUP_DELAY: Duration = Duration::from_millis(1_300);
 
-/// Reads the platform's store.
+/// Joins the fleet through the platform's store and reads the store.
 #[derive(Debug)]
 pub struct StoreDuty {
-    /// State of the box.
+    /// Shared state of this box.
     pub mesh: Arc<Mesh>,
-    /// The platform.
+    /// Client of the platform's store.
     pub platform: Arc<dyn Platform>,
 }
 
@@ -42,12 +43,12 @@
         block_on(async {
             tokio::select! {
                 () = self.join() => {}
-                () = self.look_on() => {}
+                () = self.update_reader_role() => {}
                 () = self.watch_tables() => {}
                 () = self.watch_upstreams() => {}
-                () = self.expire_on() => {}
-                () = self.reread_on() => {}
-                () = self.keep_held() => {}
+                () = self.expire_entries() => {}
+                () = self.reread_list() => {}
+                () = self.sync_held() => {}
                 () = stop.halt.cancelled() => {}
             }
             Ok(())
@@ -56,23 +57,25 @@
 }
 
 impl StoreDuty {
-    /// Reads the routing table; returns the version from which to watch.
+    /// Reads the routing table and returns the revision from which to watch.
     pub(crate) async fn read_table(&self, f: Freshness) -> Result<Revision, PlatformError> {
         let keys = self.mesh.decoder.keys();
-        // A list, since it carries the platform's version beside the table's own.
+        // A list, not a get: it returns the store's revision as well as the table's own.
         let all = self.platform.list(&keys.tables, f).await;
-        let all = self.noted("table", f, all)?;
+        let all = self.record_result("table", f, all)?;
         if let Some(o) = all.objects.iter().find(|o| o.key == keys.table) {
             self.mesh.take_table(o, "platform");
         }
         Ok(all.version)
     }
 
-    /// Reads the whole list of upstreams; returns the version from which to watch.
+    /// Reads the full list of upstreams and returns the revision from which to watch.
+    ///
+    /// A stale read returns [`Revision::ZERO`], so that no watch starts from it.
     pub(crate) async fn read_list(&self, f: Freshness) -> Result<Revision, PlatformError> {
         let prefix = &self.mesh.decoder.keys().upstreams;
         let all = self.platform.list(prefix, f).await;
-        let all = self.noted("list", f, all)?;
+        let all = self.record_result("list", f, all)?;
         if f == Freshness::Stale {
             self.mesh.take_old_list(&all, "platform");
             return Ok(Revision::ZERO);
@@ -82,10 +85,11 @@
         Ok(all.version)
     }
 
-    /// Decides again and again whether this box reads.
-    async fn look_on(&self) {
-        let settle = if self.mesh.settings.first_start { FIRST_SETTLE_TIME } else { SETTLE_TIME };
-        tokio::time::sleep(settle).await;
+    /// Periodically decides whether this box is a reader.
+    async fn update_reader_role(&self) {
+        let delay =
+            if self.mesh.settings.first_start { FIRST_STARTUP_DELAY } else { STARTUP_DELAY };
+        tokio::time::sleep(delay).await;
         let mut was_in_touch = true;
         loop {
             let in_touch = self.mesh.readers().in_touch(self.mesh.now());
@@ -101,9 +105,9 @@
                 (changed, readers.is_reading())
             };
             if changed {
-                let word = if reading { "begins" } else { "stops" };
+                let word = if reading { "starts" } else { "stops" };
                 log::info!(reading; "readers: this box {word} reading the platform");
-                self.mesh.reading.notify_waiters();
+                self.mesh.reader_changed.notify_waiters();
                 self.mesh.telling.notify_one();
             }
             let gap = self.mesh.readers().look_gap(self.mesh.now());
@@ -112,9 +116,10 @@
         }
     }
 
-    pub(crate) async fn until_reading(&self) {
+    /// Waits until this box is a reader.
+    pub(crate) async fn wait_until_reader(&self) {
         loop {
-            let woken = self.mesh.reading.notified();
+            let woken = self.mesh.reader_changed.notified();
             if self.mesh.readers().is_reading() {
                 return;
             }
@@ -123,93 +128,97 @@
     }
 
     async fn watch_tables(&self) {
-        let mut place = Place::default();
+        let mut cursor = WatchCursor::default();
         loop {
-            self.until_reading().await;
+            self.wait_until_reader().await;
             let restored = self.mesh.restored.notified();
-            let Some(since) = place.seen(self.mesh.epoch()) else {
+            let Some(since) = cursor.position(self.mesh.epoch()) else {
                 match self.read_table(Freshness::Latest).await {
-                    Ok(version) => place.set(version),
-                    Err(_) => pause(&mut place.wait).await,
+                    Ok(version) => cursor.reset(version),
+                    Err(_) => back_off(&mut cursor.backoff).await,
                 }
                 continue;
             };
             let keys = self.mesh.decoder.keys();
             let watch = self.platform.watch(&keys.tables, since, WATCH_WAIT);
-            let Some(got) = unless(restored, watch).await else { continue };
-            match self.noted("watch of tables", Freshness::Latest, got) {
+            let Some(got) = until_restored(restored, watch).await else { continue };
+            match self.record_result("watch of tables", Freshness::Latest, got) {
                 Ok(c) => {
-                    place.follow(c.version);
+                    cursor.advance(c.version);
                     let newest = c.objects.iter().filter(|o| o.key == keys.table);
                     if let Some(o) = newest.max_by_key(|o| o.version) {
                         self.mesh.take_table(o, "platform");
                     }
                 }
-                Err(e) => place.fail(&e).await,
+                Err(e) => cursor.handle_error(&e).await,
             }
         }
     }
 
     async fn watch_upstreams(&self) {
-        let mut place = Place::default();
+        let mut cursor = WatchCursor::default();
         loop {
             if !self.mesh.readers().is_reading() {
-                place.lose();
+                cursor.invalidate();
             }
-            self.until_reading().await;
+            self.wait_until_reader().await;
             let restored = self.mesh.restored.notified();
-            let Some(since) = place.seen(self.mesh.epoch()) else {
+            let Some(since) = cursor.position(self.mesh.epoch()) else {
                 match self.read_list(Freshness::Latest).await {
-                    Ok(version) => place.set(version),
-                    Err(_) => pause(&mut place.wait).await,
+                    Ok(version) => cursor.reset(version),
+                    Err(_) => back_off(&mut cursor.backoff).await,
                 }
                 continue;
             };
             let prefix = &self.mesh.decoder.keys().upstreams;
             let watch = self.platform.watch(prefix, since, WATCH_WAIT);
-            let Some(got) = unless(restored, watch).await else { continue };
-            match self.noted("watch of upstreams", Freshness::Latest, got) {
+            let Some(got) = until_restored(restored, watch).await else { continue };
+            match self.record_result("watch of upstreams", Freshness::Latest, got) {
                 Ok(c) => {
-                    place.follow(c.version);
+                    cursor.advance(c.version);
                     self.mesh.take_changes(&c, "platform");
                     self.mesh.confirm_list();
                     if !(c.objects.is_empty() && c.removed.is_empty()) {
-                        self.gather().await;
+                        self.batch_changes().await;
                     }
                 }
-                Err(e) => place.fail(&e).await,
+                Err(e) => cursor.handle_error(&e).await,
             }
         }
     }
 
-    /// Waits for further changes, so that one answer brings several.
-    async fn gather(&self) {
+    /// Delays the next watch, so that its answer returns several changes at once.
+    async fn batch_changes(&self) {
         let is_first = self.mesh.readers().rank(self.mesh.now()) == 0;
-        tokio::time::sleep(if is_first { FIRST_GATHER } else { OTHER_GATHER }).await;
+        tokio::time::sleep(if is_first { BROADCASTER_BATCH_DELAY } else { STANDBY_BATCH_DELAY })
+            .await;
     }
 
-    /// Reads the list when no peer could tell this box what it misses.
-    async fn reread_on(&self) {
+    /// Rereads the list from the platform when no peer could supply the missing changes.
+    async fn reread_list(&self) {
         loop {
             self.mesh.rereading.notified().await;
-            log::warn!("list: read from the platform, no peer has told what this box misses");
-            // A failure is noted and logged; the next one is asked for by then.
+            log::warn!(
+                "list: rereading it from the platform, no peer has supplied the missing changes"
+            );
+            // A failure is recorded and logged by `read_list`; the peers are asked again below.
             let _ = self.read_list(Freshness::Latest).await;
             self.mesh.asking.notify_one();
         }
     }
 
-    async fn expire_on(&self) {
+    /// Periodically removes list entries whose hold has expired.
+    async fn expire_entries(&self) {
         loop {
             self.mesh.expire_list();
             tokio::time::sleep(Duration::from_millis(LOOK_GAP.1)).await;
         }
     }
 
-    /// Notes for the choice of readers whether the platform answered.
+    /// Records the result of a call for the selection of readers.
     ///
-    /// An answer that may be seconds old is no sign that the platform is known as it is.
-    fn noted<T>(
+    /// A stale read shows that the platform is reachable, not that its current state is known.
+    fn record_result<T>(
         &self,
         what: &str,
         f: Freshness,
@@ -219,23 +228,23 @@
             Ok(_) if f == Freshness::Stale => {
                 self.mesh.readers().answered_old(self.mesh.now());
             }
-            // The platform is reachable, but its objects must be reread.
+            // The platform is reachable, but its objects have to be reread.
             Err(e @ PlatformError::Restored { .. }) => {
-                log::info!("store: {what} lost its place: {e}");
+                log::info!("store: {what} needs a full read: {e}");
             }
             Ok(_) | Err(PlatformError::Compacted { .. }) => {
                 if let Err(e) = &r {
-                    log::info!("store: {what} lost its place: {e}");
+                    log::info!("store: {what} needs a full read: {e}");
                 }
                 if self.mesh.readers().answered(self.mesh.now()) {
-                    log::info!("readers: the platform answers this box again");
+                    log::info!("readers: the platform responds to this box again");
                 }
             }
             Err(e) => {
                 log::info!("store: {what} failed: {e}");
                 let lost = matches!(e, PlatformError::Unknown { .. });
                 if self.mesh.readers().failed(lost) {
-                    log::warn!("readers: the platform does not answer this box any more");
+                    log::warn!("readers: the platform no longer responds to this box");
                     self.mesh.telling.notify_one();
                 }
             }
@@ -244,56 +253,59 @@
     }
 }
 
-/// Position of a watch of the platform, and its retry state.
+/// Position of a watch in the store's history, with its retry state.
 #[derive(Debug)]
-struct Place {
-    /// Position of the last answer; none while the changes since are unknown.
-    seen: Option<Revision>,
-    /// Whether the place was lost since the last answer of a watch.
-    lost: bool,
-    wait: Duration,
+struct WatchCursor {
+    /// Revision of the last answer; `None` if a full read is required.
+    position: Option<Revision>,
+    /// Whether the position was invalidated since the last answer of a watch.
+    invalidated: bool,
+    backoff: Duration,
 }
 
-impl Default for Place {
+impl Default for WatchCursor {
     fn default() -> Self {
-        Self { seen: None, lost: false, wait: FIRST_WAIT }
+        Self { position: None, invalidated: false, backoff: MIN_BACKOFF }
     }
 }
 
-impl Place {
-    /// Returns the position to watch from, unless it is of another epoch.
-    fn seen(&self, epoch: u64) -> Option<Revision> {
-        self.seen.filter(|r| r.epoch == epoch)
+impl WatchCursor {
+    /// Returns the revision to watch from, unless it is of another epoch.
+    fn position(&self, epoch: u64) -> Option<Revision> {
+        self.position.filter(|r| r.epoch == epoch)
     }
 
-    /// Records what a read was complete up to.
-    const fn set(&mut self, version: Revision) {
-        self.seen = Some(version);
+    /// Sets the position after a full read.
+    const fn reset(&mut self, version: Revision) {
+        self.position = Some(version);
     }
 
-    /// Records what a watch was complete up to.
-    const fn follow(&mut self, version: Revision) {
-        *self = Self { seen: Some(version), lost: false, wait: FIRST_WAIT };
+    /// Advances the position after a watch has answered, and resets the retry state.
+    const fn advance(&mut self, version: Revision) {
+        *self = Self { position: Some(version), invalidated: false, backoff: MIN_BACKOFF };
     }
 
-    const fn lose(&mut self) {
-        self.seen = None;
+    /// Discards the position, so that a full read follows.
+    const fn invalidate(&mut self) {
+        self.position = None;
     }
 
-    /// Reads anew at once the first time that the place is lost; waits otherwise.
-    async fn fail(&mut self, e: &PlatformError) {
-        let is_first = e.has_lost_place() && !std::mem::replace(&mut self.lost, true);
+    /// Handles a failed watch, and backs off unless an immediate full read is due.
+    ///
+    /// The first invalidation since the last answer is retried without a delay.
+    async fn handle_error(&mut self, e: &PlatformError) {
+        let is_first = e.has_lost_place() && !std::mem::replace(&mut self.invalidated, true);
         if e.has_lost_place() {
-            self.lose();
+            self.invalidate();
         }
         if !is_first {
-            pause(&mut self.wait).await;
+            back_off(&mut self.backoff).await;
         }
     }
 }
 
-/// Waits for the answer of a watch, unless the platform is restored before it.
-async fn unless(
+/// Returns the answer of a watch, or `None` if the platform is restored first.
+async fn until_restored(
     restored: impl Future<Output = ()>,
     watch: impl Future<Output = Result<Changes, PlatformError>>,
 ) -> Option<Result<Changes, PlatformError>> {
@@ -303,15 +315,16 @@
     }
 }
 
-/// Reads the routing table for a box to which a newer one was announced.
+/// Fetches the routing table's object from the platform.
 ///
 /// # Errors
-/// Any error of the platform.
+/// Returns any error of the platform.
 pub async fn fetch_table(mesh: &Mesh, p: &dyn Platform) -> Result<Option<Object>, PlatformError> {
     p.get(&mesh.decoder.keys().table).await
 }
 
-pub(crate) async fn pause(wait: &mut Duration) {
+/// Sleeps for `wait` with 50 % jitter, then doubles it up to [`MAX_BACKOFF`].
+pub(crate) async fn back_off(wait: &mut Duration) {
     tokio::time::sleep(wait.mul_f64(0.5 + fastrand::f64())).await;
-    *wait = (*wait * 2).min(MAX_WAIT);
+    *wait = (*wait * 2).min(MAX_BACKOFF);
 }
