--- a/crates/honeypulley_supervisor/src/clock.rs
+++ b/crates/honeypulley_supervisor/src/clock.rs
@@ -1,45 +1,45 @@
-//! The process's clock as policy time.
+//! Clock of the process, in the policy crate's unit of time.
 
 use honeypulley_policy::time::Time;
 use nix::time::{ClockId, clock_gettime};
 use std::time::Duration;
 
-/// One start point that all duties of a process share.
+/// A clock with one starting point for all duties of a process.
 ///
-/// It goes on while the process is stopped by a signal and while the machine is suspended, so
-/// that whatever is judged by its age (leases, beliefs, lists, budgets, deadlines) is as old as
-/// it is for everyone else. The usual monotonic clock stands still during a suspension.
+/// It also advances while the process is stopped by a signal and while the machine is suspended.
+/// Leases, beliefs, lists, budgets and deadlines therefore have the same age here as on all other
+/// machines. The usual monotonic clock stops during a suspension.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Duration,
-    read: fn() -> Duration,
+    source: fn() -> Duration,
 }
 
 impl Clock {
-    /// Starts the clock.
+    /// Starts a clock at zero.
     #[must_use]
     pub fn start() -> Self {
         Self::start_by(since_boot)
     }
 
-    /// Starts a clock by what `read` returns, which must not go back; for tests.
+    /// Starts a clock that reads `source`, which must be monotonic; for tests.
     #[must_use]
-    pub fn start_by(read: fn() -> Duration) -> Self {
-        Self { start: read(), read }
+    pub fn start_by(source: fn() -> Duration) -> Self {
+        Self { start: source(), source }
     }
 
-    /// Returns the time since the start.
+    /// Returns the time since the clock was started.
     #[must_use]
     pub fn now(&self) -> Time {
-        let since = (self.read)().saturating_sub(self.start);
-        Time::from_micros(since.as_micros() as u64)
+        let elapsed = (self.source)().saturating_sub(self.start);
+        Time::from_micros(elapsed.as_micros() as u64)
     }
 }
 
-/// Returns the time since the machine was started, suspensions included.
+/// Returns the time since the machine booted, including suspensions.
 ///
 /// # Panics
-/// Panics if the system lacks this clock, which Linux has had since 2.6.39.
+/// Panics if the system lacks `CLOCK_BOOTTIME`, which Linux has had since 2.6.39.
 fn since_boot() -> Duration {
-    clock_gettime(ClockId::CLOCK_BOOTTIME).expect("Linux has this clock").into()
+    clock_gettime(ClockId::CLOCK_BOOTTIME).expect("Linux has CLOCK_BOOTTIME").into()
 }
--- a/crates/honeypulley_supervisor/src/lib.rs
+++ b/crates/honeypulley_supervisor/src/lib.rs
@@ -1,10 +1,10 @@
-//! A thread for each duty, restarted when it dies, joined by bounded rings.
+//! Supervised threads for long-running duties, connected by bounded ring buffers.
 
 pub mod clock;
 pub mod ring;
 pub mod tree;
 
-/// The names most users of this crate need.
+/// Commonly used types of this crate.
 pub mod prelude {
     pub use crate::{
         clock::Clock,
--- a/crates/honeypulley_supervisor/src/ring.rs
+++ b/crates/honeypulley_supervisor/src/ring.rs
@@ -1,31 +1,30 @@
-//! Bounded rings between duties.
+//! Bounded ring buffers between duties.
 //!
-//! A full ring never blocks its writer. It drops by the rule it was built with
-//! and counts what it dropped.
+//! A full ring never blocks its writer: it drops an item by its overflow policy and counts it.
 
 use crossbeam_queue::ArrayQueue;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 use tokio::sync::Notify;
 
-/// What a full ring does with one more item.
+/// Overflow policy of a ring.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Full {
-    /// Drops the oldest: for news that later news replaces.
+    /// Drops the oldest item; for news that later news replaces.
     DropOldest,
-    /// Drops the one that comes: for evidence, of which more will come.
+    /// Drops the new item; for evidence, of which more will follow.
     DropNewest,
 }
 
 #[derive(Debug)]
 struct Inner<T> {
     queue: ArrayQueue<T>,
-    rule: Full,
+    policy: Full,
     dropped: AtomicU64,
-    filled: Notify,
+    pushed: Notify,
 }
 
-/// A bounded ring; clones share it.
+/// A bounded ring buffer; clones share its contents.
 #[derive(Debug)]
 pub struct Ring<T>(Arc<Inner<T>>);
 
@@ -36,26 +35,26 @@
 }
 
 impl<T> Ring<T> {
-    /// Builds a ring for `size` items.
+    /// Builds a ring with room for `capacity` items.
     ///
     /// # Panics
-    /// Panics if `size` is zero.
+    /// Panics if `capacity` is zero.
     #[must_use]
-    pub fn new(size: usize, rule: Full) -> Self {
-        let queue = ArrayQueue::new(size);
-        Self(Arc::new(Inner { queue, rule, dropped: AtomicU64::new(0), filled: Notify::new() }))
+    pub fn new(capacity: usize, policy: Full) -> Self {
+        let queue = ArrayQueue::new(capacity);
+        Self(Arc::new(Inner { queue, policy, dropped: AtomicU64::new(0), pushed: Notify::new() }))
     }
 
-    /// Puts one item in; never blocks.
+    /// Adds an item without blocking.
     pub fn push(&self, item: T) {
-        let lost = match self.0.rule {
+        let dropped = match self.0.policy {
             Full::DropOldest => self.0.queue.force_push(item).is_some(),
             Full::DropNewest => self.0.queue.push(item).is_err(),
         };
-        if lost {
+        if dropped {
             self.0.dropped.fetch_add(1, Ordering::Relaxed);
         }
-        self.0.filled.notify_one();
+        self.0.pushed.notify_one();
     }
 
     /// Removes and returns the oldest item, if there is one.
@@ -64,17 +63,17 @@
         self.0.queue.pop()
     }
 
-    /// Waits for the oldest item.
+    /// Removes and returns the oldest item; waits for one if the ring is empty.
     pub async fn next(&self) -> T {
         loop {
             if let Some(item) = self.pop() {
                 return item;
             }
-            self.0.filled.notified().await;
+            self.0.pushed.notified().await;
         }
     }
 
-    /// Returns how many items were dropped.
+    /// Returns the number of dropped items.
     #[must_use]
     pub fn dropped(&self) -> u64 {
         self.0.dropped.load(Ordering::Relaxed)
--- a/crates/honeypulley_supervisor/src/tree.rs
+++ b/crates/honeypulley_supervisor/src/tree.rs
@@ -1,4 +1,4 @@
-//! The supervisor: starts each duty on its own thread and restarts dead ones.
+//! Supervisor that runs each duty on its own thread and restarts it after a failure.
 
 use eyre::{Result, eyre};
 use std::fmt::Debug;
@@ -8,37 +8,37 @@
 use std::time::{Duration, Instant};
 use tokio_util::sync::CancellationToken;
 
-/// First wait before a dead duty is started again; doubles with each death.
-const FIRST_WAIT: Duration = Duration::from_millis(50);
-/// Longest wait.
-const MAX_WAIT: Duration = Duration::from_secs(5);
-/// A duty that ran this long starts again with the first wait.
-const LONG_RUN: Duration = Duration::from_secs(30);
+/// Initial backoff before a failed duty is restarted; it doubles with each failure.
+const MIN_BACKOFF: Duration = Duration::from_millis(50);
+/// Upper bound of that backoff.
+const MAX_BACKOFF: Duration = Duration::from_secs(5);
+/// Run time after which a failed duty is restarted with the initial backoff.
+const BACKOFF_RESET: Duration = Duration::from_secs(30);
 
-/// How a process is asked to stop, in two steps.
+/// Two-phase shutdown signal of a process.
 #[derive(Clone, Debug, Default)]
 pub struct Stop {
-    /// Set when a planned stop begins: no new work, open work goes on.
+    /// Set when a planned shutdown begins: no new work is accepted, open work continues.
     pub leave: CancellationToken,
-    /// Set when open work has ended and every duty may return.
+    /// Set when open work has ended and every duty is to return.
     pub halt: CancellationToken,
 }
 
-/// One duty of a process; runs on a thread of its own.
+/// A long-running duty of a process, with a thread of its own.
 ///
-/// What must outlive a restart lives behind shared handles that the duty holds.
+/// State that must survive a restart is kept behind shared handles that the duty owns.
 pub trait Duty: Debug + Send + Sync + 'static {
-    /// Name for thread and logs.
+    /// Returns the name of the duty, for its thread and log lines.
     fn name(&self) -> &'static str;
 
-    /// Does the duty until `stop.halt` is set.
+    /// Runs the duty until `stop.halt` is set.
     ///
     /// # Errors
-    /// An error ends this run; the supervisor starts another.
+    /// Returns an error if the run failed; the supervisor then restarts the duty.
     fn run(&self, stop: &Stop) -> Result<()>;
 }
 
-/// A supervisor with its duties.
+/// A supervisor and its duties.
 #[derive(Debug, Default)]
 pub struct Tree {
     duties: Vec<Arc<dyn Duty>>,
@@ -46,7 +46,7 @@
 }
 
 impl Tree {
-    /// Builds a supervisor that obeys `stop`.
+    /// Builds a supervisor without duties, which shuts down on `stop`.
     #[must_use]
     pub const fn new(stop: Stop) -> Self {
         Self { duties: Vec::new(), stop }
@@ -59,64 +59,66 @@
         self
     }
 
-    /// Runs every duty until halt, restarting those that die.
+    /// Runs all duties until `halt` is set, restarting those that fail.
     ///
     /// # Errors
-    /// Returns an error if a thread can't be started.
+    /// Returns an error if a thread can't be spawned.
     pub fn run(self) -> Result<()> {
         let mut threads = Vec::new();
         for duty in self.duties {
             let stop = self.stop.clone();
             let name = duty.name();
-            let body = move || keep_running(duty.as_ref(), &stop);
-            let thread = thread::Builder::new().name(name.to_owned()).spawn(body);
-            threads.push(thread.map_err(|e| eyre!("start thread {name}: {e}"))?);
+            let main = move || supervise(duty.as_ref(), &stop);
+            let thread = thread::Builder::new().name(name.to_owned()).spawn(main);
+            threads.push(thread.map_err(|e| eyre!("failed to spawn thread {name}: {e}"))?);
         }
         for t in threads {
-            // A keeper catches its duty's panics, so this join can't fail.
+            // `supervise` catches the panics of its duty, so this join can't fail.
             let _ = t.join();
         }
         Ok(())
     }
 }
 
-fn keep_running(duty: &dyn Duty, stop: &Stop) {
-    let mut wait = FIRST_WAIT;
+/// Runs a duty until `halt` is set, with a backoff between its runs.
+fn supervise(duty: &dyn Duty, stop: &Stop) {
+    let mut wait = MIN_BACKOFF;
     while !stop.halt.is_cancelled() {
         let started = Instant::now();
-        let end = catch_unwind(AssertUnwindSafe(|| duty.run(stop)));
+        let result = catch_unwind(AssertUnwindSafe(|| duty.run(stop)));
         if stop.halt.is_cancelled() {
             return;
         }
-        let why = match end {
+        let why = match result {
             Ok(Ok(())) => "returned early".to_owned(),
             Ok(Err(e)) => format!("{e:#}"),
-            Err(panic) => format!("panicked: {}", panic_text(panic.as_ref())),
+            Err(panic) => format!("panicked: {}", panic_message(panic.as_ref())),
         };
-        if started.elapsed() > LONG_RUN {
-            wait = FIRST_WAIT;
+        if started.elapsed() > BACKOFF_RESET {
+            wait = MIN_BACKOFF;
         }
         let (name, wait_ms) = (duty.name(), wait.as_millis() as u64);
         log::error!(
             duty = name, wait_ms;
-            "supervisor: duty {name} ended ({why}); started again in {wait:?}"
+            "supervisor: duty {name} ended ({why}); restarting in {wait:?}"
         );
         thread::sleep(wait);
-        wait = (wait * 2).min(MAX_WAIT);
+        wait = (wait * 2).min(MAX_BACKOFF);
     }
 }
 
-fn panic_text(panic: &(dyn std::any::Any + Send)) -> &str {
+/// Returns the message of a panic's payload.
+fn panic_message(panic: &(dyn std::any::Any + Send)) -> &str {
     let text = panic.downcast_ref::<&str>().copied();
     text.or_else(|| panic.downcast_ref::<String>().map(String::as_str)).unwrap_or("no message")
 }
 
-/// Runs a future to its end on this thread, with a runtime of its own.
+/// Runs a future to completion on the current thread, with a runtime of its own.
 ///
-/// Futures that aren't `Send`, as capnp-rpc's, may be spawned locally in it.
+/// The future may spawn local tasks that aren't `Send`, such as those of capnp-rpc.
 ///
 /// # Errors
-/// Returns the future's error, or one if no runtime can be set up.
+/// Returns the future's error, or an error if the runtime can't be built.
 pub fn block_on<T>(f: impl Future<Output = Result<T>>) -> Result<T> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     tokio::task::LocalSet::new().block_on(&runtime, f)
--- a/crates/honeypulley_supervisor/tests/clock.rs
+++ b/crates/honeypulley_supervisor/tests/clock.rs
@@ -1,26 +1,26 @@
-//! What the process's clock counts.
+//! Tests of the process clock.
 
 use honeypulley_policy::time::Time;
 use honeypulley_supervisor::clock::Clock;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-static BOOT_MS: AtomicU64 = AtomicU64::new(5_000);
+static BOOT_TIME_MS: AtomicU64 = AtomicU64::new(5_000);
 
-fn boot() -> Duration {
-    Duration::from_millis(BOOT_MS.load(Ordering::Relaxed))
+fn boot_time() -> Duration {
+    Duration::from_millis(BOOT_TIME_MS.load(Ordering::Relaxed))
 }
 
 #[test]
-fn a_suspension_is_counted() {
-    let clock = Clock::start_by(boot);
+fn the_clock_includes_suspensions() {
+    let clock = Clock::start_by(boot_time);
     assert_eq!(clock.now(), Time::ZERO);
-    BOOT_MS.fetch_add(7_250, Ordering::Relaxed);
+    BOOT_TIME_MS.fetch_add(7_250, Ordering::Relaxed);
     assert_eq!(clock.now(), Time::from_millis(7_250));
 }
 
 #[test]
-fn the_systems_clock_goes_on() {
+fn the_system_clock_advances() {
     let clock = Clock::start();
     std::thread::sleep(Duration::from_millis(20));
     assert!(clock.now() >= Time::from_millis(20));
--- a/crates/honeypulley_supervisor/tests/tree.rs
+++ b/crates/honeypulley_supervisor/tests/tree.rs
@@ -1,4 +1,4 @@
-//! Restarts of dead duties, and what full rings drop.
+//! Tests of the restarts of failed duties and of the overflow policies of rings.
 
 use eyre::{Result, bail};
 use honeypulley_supervisor::ring::{Full, Ring};
@@ -7,33 +7,33 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// Dies in one way at its first runs, then works until halt.
+/// A duty that fails in its first two runs and sets `halt` in the third.
 #[derive(Debug)]
-struct Dying {
+struct Failing {
     runs: Arc<AtomicU32>,
-    how: fn() -> Result<()>,
+    fail: fn() -> Result<()>,
     ring: Ring<u32>,
 }
 
-impl Duty for Dying {
+impl Duty for Failing {
     fn name(&self) -> &'static str {
-        "dying"
+        "failing"
     }
 
     fn run(&self, stop: &Stop) -> Result<()> {
         let n = self.runs.fetch_add(1, Ordering::SeqCst);
         self.ring.push(n);
         if n < 2 {
-            return (self.how)();
+            return (self.fail)();
         }
-        // The third run has what the first two left in the ring.
+        // The ring keeps the items of the first two runs across the restarts.
         while self.ring.pop().is_some() {}
         stop.halt.cancel();
         Ok(())
     }
 }
 
-/// Works until halt, whatever becomes of its neighbour.
+/// A duty that runs until `halt` and isn't affected by the failing one.
 #[derive(Debug)]
 struct Steady(Arc<AtomicU32>);
 
@@ -55,26 +55,30 @@
 #[case(|| bail!("an error"))]
 #[case(|| panic!("a panic"))]
 #[case(|| Ok(()))]
-fn a_dead_duty_is_started_again_while_others_go_on(#[case] how: fn() -> Result<()>) {
+fn a_failed_duty_is_restarted_while_others_continue(#[case] fail: fn() -> Result<()>) {
     let (runs, steady) = (Arc::new(AtomicU32::new(0)), Arc::new(AtomicU32::new(0)));
     let ring = Ring::new(8, Full::DropOldest);
-    let dying = Dying { runs: Arc::clone(&runs), how, ring };
-    Tree::new(Stop::default()).duty(dying).duty(Steady(Arc::clone(&steady))).run().expect("runs");
+    let failing = Failing { runs: Arc::clone(&runs), fail, ring };
+    Tree::new(Stop::default())
+        .duty(failing)
+        .duty(Steady(Arc::clone(&steady)))
+        .run()
+        .expect("the supervisor runs");
     assert_eq!((runs.load(Ordering::SeqCst), steady.load(Ordering::SeqCst)), (3, 1));
 }
 
 #[rstest]
 #[case(Full::DropOldest, [3, 4, 5])]
 #[case(Full::DropNewest, [1, 2, 3])]
-fn a_full_ring_drops_by_its_rule_and_counts(#[case] rule: Full, #[case] left: [u32; 3]) {
-    let ring = Ring::new(3, rule);
+fn a_full_ring_drops_and_counts_by_its_policy(#[case] policy: Full, #[case] kept: [u32; 3]) {
+    let ring = Ring::new(3, policy);
     (1..=5).for_each(|i| ring.push(i));
-    assert_eq!(std::iter::from_fn(|| ring.pop()).collect::<Vec<_>>(), left);
+    assert_eq!(std::iter::from_fn(|| ring.pop()).collect::<Vec<_>>(), kept);
     assert_eq!(ring.dropped(), 2);
 }
 
 #[tokio::test]
-async fn a_waiting_reader_is_woken() {
+async fn a_push_wakes_a_waiting_reader() {
     let ring = Ring::new(1, Full::DropOldest);
     let other = ring.clone();
     let (got, ()) = tokio::join!(ring.next(), async { other.push(7) });
