--- a/crates/honeypulley_mesh/tests/boxes/main.rs
+++ b/crates/honeypulley_mesh/tests/boxes/main.rs
@@ -1,4 +1,4 @@
-//! Boxes that talk over loopback: what each gets to know, and by which way.
+//! Tests of several boxes on the loopback interface: what each learns, and over which path.
 
 mod departures;
 mod foreign;
--- a/crates/honeypulley_mesh/tests/boxes/model.rs
+++ b/crates/honeypulley_mesh/tests/boxes/model.rs
@@ -1,7 +1,10 @@
-//! Random histories of a platform that is restored, of its writers, and of boxes that read it
-//! and each other: whatever the order, tables never go back and all end with what the writers said.
+//! Model test with random histories of a platform, its writers, and boxes that read it and each
+//! other.
+//!
+//! The platform may be restored from a backup at any point. Whatever the order of events, tables
+//! never revert, and all boxes converge to the state that the writers wrote.
 
-use crate::support::{key, mesh_by};
+use crate::support::{key, mesh_with_clock};
 use bytes::Bytes;
 use honeypulley_mesh::list::ListChange;
 use honeypulley_mesh::prelude::*;
@@ -22,31 +25,31 @@
 
 const BOXES: usize = 3;
 const UPSTREAMS: usize = 4;
-/// Longest time after a restore by which writers have repeated what was lost, in milliseconds.
-const REPEAT_MS: u64 = 2_000;
+/// Maximum time after a restore until writers have rewritten what was lost, in milliseconds.
+const REWRITE_MS: u64 = 2_000;
 
 thread_local! {
-    /// Simulated time of the test's own thread.
+    /// Simulated time, one for each test thread.
     static CLOCK: Cell<Duration> = const { Cell::new(Duration::from_secs(1)) };
 }
 
-/// What happens next; indices are taken modulo what there is.
+/// One event of a history. Indices of messages are taken modulo their number.
 #[derive(Clone, Copy, Debug)]
 enum Op {
     WriteTable(u64),
     Start(usize),
     Drain(usize),
-    Leave(usize),
+    Remove(usize),
     Backup,
     Restore,
-    Repeat,
+    RewriteLost,
     Read(usize),
     Watch(usize),
     Beacon(usize, usize),
-    Ask(usize, usize),
+    RequestChanges(usize, usize),
     Pull(usize, usize),
-    Late(usize),
-    Pass(u64),
+    Redeliver(usize),
+    Advance(u64),
 }
 
 fn op() -> impl Strategy<Value = Op> {
@@ -56,53 +59,54 @@
         2 => (1u64..4).prop_map(Op::WriteTable),
         2 => upstream().prop_map(Op::Start),
         2 => upstream().prop_map(Op::Drain),
-        2 => upstream().prop_map(Op::Leave),
+        2 => upstream().prop_map(Op::Remove),
         2 => Just(Op::Backup),
         2 => Just(Op::Restore),
-        1 => Just(Op::Repeat),
+        1 => Just(Op::RewriteLost),
         3 => at().prop_map(Op::Read),
         4 => at().prop_map(Op::Watch),
         4 => (at(), at()).prop_map(|(a, b)| Op::Beacon(a, b)),
-        3 => (at(), at()).prop_map(|(a, b)| Op::Ask(a, b)),
+        3 => (at(), at()).prop_map(|(a, b)| Op::RequestChanges(a, b)),
         2 => (at(), at()).prop_map(|(a, b)| Op::Pull(a, b)),
-        3 => (0usize..64).prop_map(Op::Late),
-        4 => (50u64..1_500).prop_map(Op::Pass),
+        3 => (0usize..64).prop_map(Op::Redeliver),
+        4 => (50u64..1_500).prop_map(Op::Advance),
     ]
 }
 
-/// A message that may arrive again, or late.
+/// A message that may be delivered late or more than once.
 #[derive(Clone, Debug)]
 enum Message {
-    Told(Told),
+    Changes(Told),
     Table(Object),
     List(Changes),
     Beacon(Beacon),
 }
 
-/// One box, and what its serving thread was handed.
+/// A simulated box and the state of its serving thread.
 struct SimBox {
     mesh: Arc<Mesh>,
     platform: EpochWatch,
     addr: SocketAddr,
-    /// Where its watches stand, of tables and of upstreams.
-    places: [Option<Revision>; 2],
-    /// State and start of each upstream that the serving thread knows.
+    /// Positions of its watches of tables and of upstreams.
+    cursors: [Option<Revision>; 2],
+    /// State and start time of each upstream that the serving thread knows.
     serving: BTreeMap<String, (MemberState, Option<u64>)>,
     table: u64,
 }
 
-/// An upstream as it is.
+/// Actual state of an upstream, as its writer knows it.
 #[derive(Clone, Copy, Debug, Default)]
 struct Upstream {
     born: u64,
     state: Option<MemberState>,
 }
 
+/// The platform, its writers and the boxes.
 struct World {
     memory: Arc<MemoryPlatform>,
     backup: Option<Backup>,
-    /// Milliseconds since a restore whose lost writes are not repeated yet.
-    unrepeated: Option<u64>,
+    /// Milliseconds since a restore whose lost writes have not been rewritten yet.
+    since_restore: Option<u64>,
     table: u64,
     upstreams: [Upstream; UPSTREAMS],
     boxes: Vec<SimBox>,
@@ -110,13 +114,14 @@
     runtime: tokio::runtime::Runtime,
 }
 
+/// Builds box `i`, which runs on the simulated clock.
 fn sim_box(i: usize, memory: &Arc<MemoryPlatform>) -> SimBox {
     let addr: SocketAddr = ([10, 0, 0, i as u8 + 1], 7_000).into();
     let settings = MeshSettings::builder().name(format!("box{i}")).hall("h").peer(addr).key(key());
-    let mesh = mesh_by(settings.build(), Clock::start_by(|| CLOCK.with(Cell::get)));
+    let mesh = mesh_with_clock(settings.build(), Clock::start_by(|| CLOCK.with(Cell::get)));
     let platform = EpochWatch::new(Arc::<MemoryPlatform>::clone(memory), Arc::clone(&mesh));
-    let (places, serving, table) = ([None; 2], BTreeMap::new(), 0);
-    SimBox { mesh, platform, addr, places, serving, table }
+    let (cursors, serving, table) = ([None; 2], BTreeMap::new(), 0);
+    SimBox { mesh, platform, addr, cursors, serving, table }
 }
 
 impl World {
@@ -128,12 +133,12 @@
         let mut world = Self {
             memory,
             backup: None,
-            unrepeated: None,
+            since_restore: None,
             table: 0,
             upstreams: Default::default(),
             boxes,
             sent: Vec::new(),
-            runtime: runtime.expect("a runtime can be had"),
+            runtime: runtime.expect("the runtime can be built"),
         };
         world.apply(Op::WriteTable(1));
         (0..UPSTREAMS).for_each(|i| world.apply(Op::Start(i)));
@@ -141,19 +146,20 @@
         world
     }
 
-    fn wait<T>(&self, f: impl Future<Output = T>) -> T {
+    fn block_on<T>(&self, f: impl Future<Output = T>) -> T {
         self.runtime.block_on(f)
     }
 
-    /// Writes an object, whatever stands there.
+    /// Writes an object, whether or not it exists.
     fn write(&self, key: &str, value: String) {
-        let held = self.wait(self.memory.get(key)).expect("it answers");
+        let held = self.block_on(self.memory.get(key)).expect("the platform answers");
         let expect = held.map_or(Expect::Absent, |o| Expect::Version(o.version));
-        self.wait(self.memory.put(key, Bytes::from(value), expect)).expect("nobody else writes");
+        self.block_on(self.memory.put(key, Bytes::from(value), expect))
+            .expect("there is no other writer");
     }
 
-    /// Writes an upstream's entry as it is.
-    fn list(&self, i: usize) {
+    /// Writes the entry of upstream `i` by its actual state.
+    fn write_upstream(&self, i: usize) {
         let key = format!("u/u{i}");
         let u = self.upstreams[i];
         match u.state {
@@ -163,44 +169,48 @@
         }
     }
 
-    /// Has the writers repeat what a restore has lost.
-    fn repeat(&mut self) {
-        if self.unrepeated.take().is_none() {
+    /// Makes the writers rewrite what a restore has lost.
+    fn rewrite_lost(&mut self) {
+        if self.since_restore.take().is_none() {
             return;
         }
-        let stands = self.wait(self.memory.get("t/main")).expect("it answers");
-        if stands.is_none_or(|o| o.value != self.table.to_string().as_bytes()) {
+        let stored = self.block_on(self.memory.get("t/main")).expect("the platform answers");
+        if stored.is_none_or(|o| o.value != self.table.to_string().as_bytes()) {
             self.write("t/main", self.table.to_string());
         }
         for i in 0..UPSTREAMS {
             let u = self.upstreams[i];
             let word = if u.state == Some(MemberState::Live) { "live" } else { "leaving" };
             let wanted = u.state.map(|_| format!("{word}:{}", u.born));
-            let stands = self.wait(self.memory.get(&format!("u/u{i}"))).expect("it answers");
-            let stands = stands.map(|o| String::from_utf8_lossy(&o.value).into_owned());
-            if stands != wanted {
-                self.list(i);
+            let stored =
+                self.block_on(self.memory.get(&format!("u/u{i}"))).expect("the platform answers");
+            let stored = stored.map(|o| String::from_utf8_lossy(&o.value).into_owned());
+            if stored != wanted {
+                self.write_upstream(i);
             }
         }
     }
 
-    fn pass(&mut self, ms: u64) {
+    /// Advances the clock, and expires entries and the writers' delay.
+    fn advance(&mut self, ms: u64) {
         CLOCK.with(|c| c.set(c.get() + Duration::from_millis(ms)));
-        self.unrepeated = self.unrepeated.map(|since| since + ms);
-        if self.unrepeated.is_some_and(|since| since > REPEAT_MS) {
-            self.repeat();
+        self.since_restore = self.since_restore.map(|since| since + ms);
+        if self.since_restore.is_some_and(|since| since > REWRITE_MS) {
+            self.rewrite_lost();
         }
         self.boxes.iter().for_each(|b| b.mesh.expire_list());
     }
 
+    /// Makes box `i` read tables and upstreams in full.
     fn read(&mut self, i: usize) {
         let b = &self.boxes[i];
-        let tables = self.wait(b.platform.list("t/", Freshness::Latest));
-        let upstreams = self.wait(b.platform.list("u/", Freshness::Latest));
-        self.boxes[i].places = [self.take_tables(i, tables), self.take_list(i, upstreams)];
+        let tables = self.block_on(b.platform.list("t/", Freshness::Latest));
+        let upstreams = self.block_on(b.platform.list("u/", Freshness::Latest));
+        self.boxes[i].cursors = [self.apply_tables(i, tables), self.apply_list(i, upstreams)];
     }
 
-    fn take_tables(&mut self, i: usize, got: Result<Changes, PlatformError>) -> Option<Revision> {
+    /// Applies tables read by box `i`; returns their position if the read succeeded.
+    fn apply_tables(&mut self, i: usize, got: Result<Changes, PlatformError>) -> Option<Revision> {
         let changes = got.ok()?;
         for o in changes.objects {
             self.boxes[i].mesh.take_table(&o, "platform");
@@ -209,7 +219,8 @@
         Some(changes.version)
     }
 
-    fn take_list(&mut self, i: usize, got: Result<Changes, PlatformError>) -> Option<Revision> {
+    /// Applies a list read by box `i`; returns its position if the read succeeded.
+    fn apply_list(&mut self, i: usize, got: Result<Changes, PlatformError>) -> Option<Revision> {
         let all = got.ok()?;
         self.boxes[i].mesh.take_list(&all, "platform");
         self.boxes[i].mesh.confirm_list();
@@ -218,39 +229,43 @@
         Some(version)
     }
 
+    /// Makes box `i` watch tables and upstreams, or read them in full if it lacks a position.
     fn watch(&mut self, i: usize) {
         let b = &self.boxes[i];
-        let [Some(tables), Some(upstreams)] = b.places else { return self.read(i) };
-        let got = self.wait(b.platform.watch("t/", tables, Duration::ZERO));
-        let listed = self.wait(b.platform.watch("u/", upstreams, Duration::ZERO));
-        let tables = self.take_tables(i, got);
+        let [Some(tables), Some(upstreams)] = b.cursors else { return self.read(i) };
+        let got = self.block_on(b.platform.watch("t/", tables, Duration::ZERO));
+        let listed = self.block_on(b.platform.watch("u/", upstreams, Duration::ZERO));
+        let tables = self.apply_tables(i, got);
         let listed = listed.ok().map(|c| {
             self.boxes[i].mesh.take_changes(&c, "platform");
             c.version
         });
-        self.boxes[i].places = [tables, listed];
+        self.boxes[i].cursors = [tables, listed];
     }
 
+    /// Delivers a message to box `to`.
     fn deliver(&mut self, from: usize, to: usize, m: &Message) {
         let (id, addr) = (self.boxes[from].mesh.id, self.boxes[from].addr);
         let mesh = &self.boxes[to].mesh;
         match m {
-            Message::Told(t) => mesh.hear_changes(id, t.clone(), addr),
+            Message::Changes(t) => mesh.hear_changes(id, t.clone(), addr),
             Message::Table(o) => mesh.take_table(o, "late"),
             Message::List(all) => mesh.take_list(all, "late"),
             Message::Beacon(b) => mesh.take_beacon(id, addr, *b),
         }
     }
 
+    /// Delivers a message and keeps it for later redelivery.
     fn send(&mut self, from: usize, to: usize, m: Message) {
         self.deliver(from, to, &m);
         self.sent.push((from, to, m));
     }
 
-    fn ask(&mut self, from: usize, to: usize) {
+    /// Makes box `to` request changes and the table of box `from`.
+    fn request_changes(&mut self, from: usize, to: usize) {
         let since = self.boxes[to].mesh.list_now().version;
         let told = self.boxes[from].mesh.changes_after(since).unwrap_or_default();
-        told.into_iter().for_each(|t| self.send(from, to, Message::Told(t)));
+        told.into_iter().for_each(|t| self.send(from, to, Message::Changes(t)));
         let held = self.boxes[from].mesh.held_table();
         let key = "t/main".to_owned();
         let table = Object { key, value: held.value, version: held.version };
@@ -259,6 +274,7 @@
         }
     }
 
+    /// Makes box `to` pull the full list of box `from`.
     fn pull(&mut self, from: usize, to: usize) {
         let held = self.boxes[from].mesh.held_list();
         if !held.version.is_zero() {
@@ -266,63 +282,64 @@
         }
     }
 
+    /// Applies one event and checks the invariants.
     fn apply(&mut self, op: Op) {
         match op {
             Op::WriteTable(more) => {
-                // A lost version is written again before a newer one.
-                self.repeat();
+                // Writers rewrite a lost version before they write a newer one.
+                self.rewrite_lost();
                 self.table += more;
                 self.write("t/main", self.table.to_string());
             }
             Op::Start(i) => {
-                self.repeat();
+                self.rewrite_lost();
                 let born = self.upstreams[i].born + 1;
                 self.upstreams[i] = Upstream { born, state: Some(MemberState::Live) };
-                self.list(i);
+                self.write_upstream(i);
             }
             Op::Drain(i) if self.upstreams[i].state.is_some() => {
-                self.repeat();
+                self.rewrite_lost();
                 self.upstreams[i].state = Some(MemberState::Leaving);
-                self.list(i);
+                self.write_upstream(i);
             }
-            Op::Leave(i) => {
-                self.repeat();
+            Op::Remove(i) => {
+                self.rewrite_lost();
                 self.upstreams[i].state = None;
-                self.list(i);
+                self.write_upstream(i);
             }
             Op::Drain(_) => {}
             Op::Backup => self.backup = Some(self.memory.backup()),
             Op::Restore => {
                 if let Some(b) = self.backup.clone() {
                     self.memory.restore(b);
-                    self.unrepeated = Some(0);
+                    self.since_restore = Some(0);
                 }
             }
-            Op::Repeat => self.repeat(),
+            Op::RewriteLost => self.rewrite_lost(),
             Op::Read(i) => self.read(i),
             Op::Watch(i) => self.watch(i),
             Op::Beacon(from, to) if from != to => {
                 let b = self.boxes[from].mesh.beacon();
                 self.send(from, to, Message::Beacon(b));
             }
-            Op::Ask(from, to) if from != to => self.ask(from, to),
+            Op::RequestChanges(from, to) if from != to => self.request_changes(from, to),
             Op::Pull(from, to) if from != to => self.pull(from, to),
-            Op::Beacon(..) | Op::Ask(..) | Op::Pull(..) => {}
-            Op::Late(k) => {
+            Op::Beacon(..) | Op::RequestChanges(..) | Op::Pull(..) => {}
+            Op::Redeliver(k) => {
                 if let Some((from, to, m)) = self.sent.get(k % self.sent.len().max(1)).cloned() {
                     self.deliver(from, to, &m);
                 }
             }
-            Op::Pass(ms) => self.pass(ms),
+            Op::Advance(ms) => self.advance(ms),
         }
-        self.check_each_step();
+        self.check_invariants();
     }
 
-    /// Takes over what the serving threads are handed, and checks what never may happen.
-    fn check_each_step(&mut self) {
+    /// Applies pending changes to the serving threads, and checks the invariants.
+    fn check_invariants(&mut self) {
         for b in &mut self.boxes {
             let table = b.mesh.table_number();
-            assert!(table >= b.table, "table {} went back to {table}", b.table);
+            assert!(table >= b.table, "table {} was reverted to {table}", b.table);
             b.table = table;
             for change in b.mesh.next_list() {
                 match change {
@@ -342,9 +359,9 @@
         }
     }
 
-    /// Lets some boxes read and inform all others, as they do in calm.
-    fn settle(&mut self, readers: usize) {
-        self.repeat();
+    /// Lets the readers read and inform all other boxes without disturbance.
+    fn converge(&mut self, readers: usize) {
+        self.rewrite_lost();
         for _ in 0..4 {
             for reader in 0..readers {
                 self.apply(Op::Watch(reader));
@@ -352,19 +369,19 @@
             }
             for to in 1..BOXES {
                 self.apply(Op::Beacon(0, to));
-                self.apply(Op::Ask(0, to));
+                self.apply(Op::RequestChanges(0, to));
                 self.apply(Op::Pull(0, to));
             }
-            self.pass(3_000);
+            self.advance(3_000);
         }
-        self.check_each_step();
+        self.check_invariants();
     }
 
-    /// Plays a history, and returns whether all boxes end with what the writers said.
-    fn play(ops: Vec<Op>, readers: usize) -> Result<(), TestCaseError> {
+    /// Runs a history and checks that all boxes converge to the writers' state.
+    fn run(ops: Vec<Op>, readers: usize) -> Result<(), TestCaseError> {
         let mut world = Self::new();
         ops.into_iter().for_each(|op| world.apply(op));
-        world.settle(readers);
+        world.converge(readers);
         let expected = world.expected();
         for b in &world.boxes {
             prop_assert_eq!(b.mesh.table_number(), world.table);
@@ -373,6 +390,7 @@
         Ok(())
     }
 
+    /// Returns the upstreams that every serving thread has to know in the end.
     fn expected(&self) -> BTreeMap<String, (MemberState, Option<u64>)> {
         let all = self.upstreams.iter().enumerate();
         all.filter_map(|(i, u)| Some((format!("u{i}"), (u.state?, Some(u.born))))).collect()
@@ -388,15 +406,18 @@
     })]
 
     #[test]
-    fn boxes_end_with_what_the_writers_said(ops in prop::collection::vec(op(), 1..60)) {
-        World::play(ops, BOXES)?;
+    fn boxes_converge_to_the_writers_state(ops in prop::collection::vec(op(), 1..60)) {
+        World::run(ops, BOXES)?;
     }
 }
 
-/// A departure of which the one reader knows nothing stays unknown to a box that knew the entry.
+/// Guards against a departed upstream that stays listed on a box.
+///
+/// A box that was a reader knows an entry that the only remaining reader has never seen, so that
+/// reader can't announce the departure.
 #[test]
 fn a_departure_that_only_a_former_reader_could_see_reaches_it() {
     let ops =
-        vec![Op::Leave(0), Op::Read(0), Op::Start(0), Op::Watch(1), Op::Leave(0), Op::Read(0)];
-    World::play(ops, 1).expect("all boxes know what the platform lists");
+        vec![Op::Remove(0), Op::Read(0), Op::Start(0), Op::Watch(1), Op::Remove(0), Op::Read(0)];
+    World::run(ops, 1).expect("all boxes have the platform's list");
 }
--- a/crates/honeypulley_mesh/tests/boxes/restore.rs
+++ b/crates/honeypulley_mesh/tests/boxes/restore.rs
@@ -1,4 +1,4 @@
-//! What a box does when its platform was restored from a backup.
+//! Behaviour of a box after its platform was restored from a backup.
 
 use crate::support::{Connections, Relay, TestBox, all, at, entry, key, mesh, table};
 use async_trait::async_trait;
@@ -17,13 +17,13 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Time within which a box has stored again what the platform lost.
-const STORED: Duration = Duration::from_secs(4);
+/// Maximum time until a box has rewritten what the platform lost.
+const REWRITE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// A box that reads a platform, until it is dropped.
+/// A box that reads a platform until it is dropped.
 struct Reader {
     mesh: Arc<Mesh>,
-    /// The platform, unless it is a test's own.
+    /// The platform, unless the test supplies its own.
     memory: Arc<MemoryPlatform>,
     stop: Stop,
     thread: Option<std::thread::JoinHandle<()>>,
@@ -31,7 +31,7 @@
 
 impl Reader {
     fn start() -> Self {
-        let memory = Arc::new(filled());
+        let memory = Arc::new(initial_platform());
         let inner = Arc::<MemoryPlatform>::clone(&memory);
         let mut reader = Self::start_on(inner);
         reader.memory = memory;
@@ -39,18 +39,18 @@
     }
 
     fn start_on(inner: Arc<dyn Platform>) -> Self {
-        let addr: SocketAddr = "10.0.0.7:7000".parse().expect("an address");
+        let addr: SocketAddr = "10.0.0.7:7000".parse().expect("the address is valid");
         let settings = MeshSettings::builder().name("box1").hall("hall-a").peer(addr).key(key());
         let mesh = mesh(settings.build());
         let platform: Arc<dyn Platform> = Arc::new(EpochWatch::new(inner, Arc::clone(&mesh)));
         let stop = Stop::default();
         let tree = Tree::new(stop.clone()).duty(StoreDuty { mesh: Arc::clone(&mesh), platform });
-        let thread = std::thread::spawn(move || tree.run().expect("it runs"));
-        until("it reads", || mesh.readers().is_reading() && mesh.knows_list());
+        let thread = std::thread::spawn(move || tree.run().expect("the duty runs"));
+        wait_until("the box is a reader", || mesh.readers().is_reading() && mesh.knows_list());
         Self { mesh, memory: Arc::default(), stop, thread: Some(thread) }
     }
 
-    fn has(&self, key: &str) -> bool {
+    fn is_stored(&self, key: &str) -> bool {
         futures::executor::block_on(self.memory.get(key)).is_ok_and(|o| o.is_some())
     }
 }
@@ -64,8 +64,8 @@
     }
 }
 
-/// A platform before any box has started.
-fn filled() -> MemoryPlatform {
+/// Builds a platform with a table and one upstream, before any box has started.
+fn initial_platform() -> MemoryPlatform {
     let memory = MemoryPlatform::default();
     write(&memory, "t/main", "1");
     write(&memory, "u/u0", "live");
@@ -74,13 +74,16 @@
 
 fn write(p: &MemoryPlatform, key: &str, value: &'static str) {
     let put = p.put(key, Bytes::from_static(value.as_bytes()), Expect::Absent);
-    futures::executor::block_on(put).expect("it is not there yet");
+    futures::executor::block_on(put).expect("the object does not exist yet");
 }
 
-fn until(what: &str, mut holds: impl FnMut() -> bool) {
+fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
     let began = Instant::now();
-    while !holds() {
-        assert!(began.elapsed() < STORED, "not within {STORED:?}: {what}");
+    while !condition() {
+        assert!(
+            began.elapsed() < REWRITE_TIMEOUT,
+            "timed out after {REWRITE_TIMEOUT:?} waiting until {what}"
+        );
         std::thread::sleep(Duration::from_millis(10));
     }
 }
@@ -94,52 +97,54 @@
     }
 }
 
-/// A box's record was written once, at its start, and its loss left the box unknown to new ones.
+/// Guards against a record that is written only at startup: new boxes can't find a box whose record
+/// is lost.
 #[test]
-fn a_record_that_the_platform_lost_is_written_again() {
+fn a_record_lost_in_a_restore_is_written_again() {
     let r = Reader::start();
-    until("its record is there", || r.has("b/box1"));
-    r.memory.restore(filled().backup());
-    until("its record is there again", || r.has("b/box1"));
+    wait_until("the record is stored", || r.is_stored("b/box1"));
+    r.memory.restore(initial_platform().backup());
+    wait_until("the record is stored again", || r.is_stored("b/box1"));
 }
 
-/// Holds were compared with what the box believed to be stored.
+/// Guards against comparing the holds with a copy of the stored ones from before the restore.
 #[test]
-fn holds_that_the_platform_lost_are_written_again() {
+fn holds_lost_in_a_restore_are_written_again() {
     let r = Reader::start();
     let backup = r.memory.backup();
     r.mesh.hear_requests(vec![hold()]);
-    until("the hold is stored", || r.has("h/requests"));
+    wait_until("the hold is stored", || r.is_stored("h/requests"));
     r.memory.restore(backup);
-    assert!(!r.has("h/requests"));
-    until("the hold is stored again", || r.has("h/requests"));
+    assert!(!r.is_stored("h/requests"));
+    wait_until("the hold is stored again", || r.is_stored("h/requests"));
 }
 
 #[test]
-fn a_table_written_after_a_restore_is_taken_whatever_its_revision() {
+fn a_table_written_after_a_restore_is_applied_whatever_its_revision() {
     let r = Reader::start();
     let backup = r.memory.backup();
-    let version = |n: &'static str| {
-        let held = futures::executor::block_on(r.memory.get("t/main")).expect("it answers");
+    let write_table = |n: &'static str| {
+        let held =
+            futures::executor::block_on(r.memory.get("t/main")).expect("the platform answers");
         let expect = held.map_or(Expect::Absent, |o| Expect::Version(o.version));
         let put = r.memory.put("t/main", Bytes::from_static(n.as_bytes()), expect);
-        futures::executor::block_on(put).expect("nobody else writes");
+        futures::executor::block_on(put).expect("there is no other writer");
     };
-    ["2", "3", "4"].into_iter().for_each(version);
-    until("table 4 is held", || r.mesh.table_number() == 4);
+    ["2", "3", "4"].into_iter().for_each(write_table);
+    wait_until("table 4 is held", || r.mesh.table_number() == 4);
     r.memory.restore(backup);
-    until("the restore is known", || r.mesh.restores() == 1);
-    assert_eq!(r.mesh.table_number(), 4, "the copy's table is older");
-    ["3", "5"].into_iter().for_each(version);
-    until("table 5 is held", || r.mesh.table_number() == 5);
+    wait_until("the restore is noticed", || r.mesh.restores() == 1);
+    assert_eq!(r.mesh.table_number(), 4, "the restored table is older");
+    ["3", "5"].into_iter().for_each(write_table);
+    wait_until("table 5 is held", || r.mesh.table_number() == 5);
 }
 
-/// A platform whose stale answers are from before a restore.
+/// A platform whose stale reads are from before a restore.
 #[derive(Debug)]
-struct StaleBefore(MemoryPlatform);
+struct StaleReadsPlatform(MemoryPlatform);
 
 #[async_trait]
-impl Platform for StaleBefore {
+impl Platform for StaleReadsPlatform {
     async fn get(&self, key: &str) -> Result<Option<Object>, PlatformError> {
         self.0.get(key).await
     }
@@ -171,13 +176,15 @@
 }
 
 #[test]
-fn a_box_that_starts_after_a_restore_asks_for_fresh_answers() {
-    let r = Reader::start_on(Arc::new(StaleBefore(filled())));
+fn a_box_that_starts_after_a_restore_uses_fresh_reads() {
+    let r = Reader::start_on(Arc::new(StaleReadsPlatform(initial_platform())));
     assert_eq!(r.mesh.table_number(), 1);
 }
 
-/// A box whose list is of an old answer: from before a restore, though it is named as of after.
-fn started_on_an_old_answer() -> TestBox {
+/// Starts a box with a list from a stale read.
+///
+/// The list is from before a restore, but carries the epoch after it.
+fn start_with_stale_list() -> TestBox {
     let b = TestBox::start_empty("a", "hall-a");
     let objects: Vec<Object> = (0..10)
         .map(|i| {
@@ -192,13 +199,13 @@
     b
 }
 
-/// A departure whose revision was lower than those of the old answer was dropped.
+/// Guards against dropping a departure whose revision is lower than those of the stale read.
 #[rstest]
 #[case::lower_than_its_own(40)]
 #[case::higher(95)]
-fn a_list_of_an_old_answer_is_no_ground_after_a_recent_restore(#[case] number: u64) {
-    let b = started_on_an_old_answer();
-    let via: SocketAddr = "10.0.0.7:7000".parse().expect("an address");
+fn a_stale_list_is_discarded_after_a_recent_restore(#[case] number: u64) {
+    let b = start_with_stale_list();
+    let via: SocketAddr = "10.0.0.7:7000".parse().expect("the address is valid");
     let list = Revision::new(2, number);
     b.mesh.take_beacon(NameId(7), via, Beacon { list, restored: true, ..beacon(2) });
     let gone = |i: u64| Entry {
@@ -208,18 +215,18 @@
     };
     let entries: Vec<Entry> = (0..3).map(gone).collect();
     let told = Told::cut(Revision::new(2, 0), list, Duration::ZERO, &entries);
-    for part in told.expect("they are few") {
+    for part in told.expect("few entries can be encoded") {
         b.mesh.hear_changes(NameId(7), part, via);
     }
     assert_eq!(b.mesh.list_now().version, list);
     assert!((0..3).all(|i| b.knows_left(&format!("u{i}"))));
 }
 
-/// Each beacon of the seconds after a restore would have the box fetch the list again.
+/// Guards against a full read of the list for every beacon in the seconds after a restore.
 #[test]
-fn a_list_of_an_old_answer_is_given_up_once() {
-    let b = started_on_an_old_answer();
-    let via: SocketAddr = "10.0.0.7:7000".parse().expect("an address");
+fn a_stale_list_is_discarded_only_once() {
+    let b = start_with_stale_list();
+    let via: SocketAddr = "10.0.0.7:7000".parse().expect("the address is valid");
     let list = Revision::new(2, 95);
     let beacon = Beacon { list, restored: true, ..beacon(2) };
     b.mesh.take_beacon(NameId(7), via, beacon);
@@ -230,8 +237,8 @@
 }
 
 #[test]
-fn a_fresh_answer_replaces_a_list_of_an_old_one() {
-    let b = started_on_an_old_answer();
+fn a_fresh_read_replaces_a_stale_list() {
+    let b = start_with_stale_list();
     let version = Revision::new(2, 40);
     let mut objects = vec![entry("u0", "leaving", 40)];
     objects[0].version.epoch = 2;
@@ -240,7 +247,7 @@
     assert!((0..10).all(|i| b.knows_left(&format!("u{i}"))));
 }
 
-/// A beacon of a reader that knows more or less of the platform's epoch than this box.
+/// Builds the beacon of a reader that knows the platform's `epoch`.
 fn beacon(epoch: u64) -> Beacon {
     let age = Duration::ZERO;
     let list = Revision::new(epoch, 10);
@@ -257,9 +264,9 @@
 }
 
 #[test]
-fn a_reader_that_does_not_know_of_the_restore_is_not_fresh() {
+fn a_reader_unaware_of_the_restore_is_not_fresh() {
     let b = TestBox::start("a", "hall-a");
-    let via: SocketAddr = "10.0.0.7:7000".parse().expect("an address");
+    let via: SocketAddr = "10.0.0.7:7000".parse().expect("the address is valid");
     b.mesh.take_beacon(NameId(7), via, beacon(2));
     assert!(b.mesh.readers().in_touch(b.mesh.now()));
     b.mesh.take_beacon(NameId(8), via, beacon(3));
@@ -269,23 +276,23 @@
 }
 
 #[test]
-fn a_box_that_hears_of_a_restore_is_in_touch_once_a_reader_has_read_since() {
+fn a_box_is_in_touch_again_once_a_reader_has_read_after_the_restore() {
     let b = TestBox::start("a", "hall-a");
-    let via: SocketAddr = "10.0.0.7:7000".parse().expect("an address");
+    let via: SocketAddr = "10.0.0.7:7000".parse().expect("the address is valid");
     b.mesh.take_beacon(NameId(7), via, beacon(1));
     assert!(b.mesh.readers().in_touch(b.mesh.now()));
     let unread = Beacon { read_age: Duration::from_secs(3_600), ..beacon(2) };
     b.mesh.take_beacon(NameId(7), via, unread);
-    assert!(!b.mesh.readers().in_touch(b.mesh.now()), "nothing is known of the copy");
+    assert!(!b.mesh.readers().in_touch(b.mesh.now()), "no reader has read the restored platform");
     b.mesh.take_beacon(NameId(7), via, beacon(2));
     assert!(b.mesh.readers().in_touch(b.mesh.now()));
 }
 
-/// A box waited for a version of an earlier epoch that no box will ever hold.
+/// Guards against waiting for a version of an earlier epoch, which no box will ever hold.
 #[test]
-fn a_version_that_was_lost_is_missed_no_more() {
+fn a_version_lost_in_a_restore_is_not_awaited() {
     let b = TestBox::start("a", "hall-a");
-    let via: SocketAddr = "10.0.0.7:7000".parse().expect("an address");
+    let via: SocketAddr = "10.0.0.7:7000".parse().expect("the address is valid");
     b.mesh.take_beacon(NameId(7), via, Beacon { list: at(90), ..beacon(1) });
     assert!(b.mesh.catch_up().misses(b.mesh.list_now().version));
     let objects = (0..10).map(|i| entry(&format!("u{i}"), "live", i + 1));
@@ -302,27 +309,27 @@
     assert!(!b.mesh.catch_up().misses(b.mesh.list_now().version));
 }
 
-/// A reader that finds out of a restore tells the whole list, whatever its peers hold.
+/// A reader that notices a restore sends the full list, whatever its peers hold.
 #[test]
-fn a_restored_list_reaches_the_peers_with_what_it_lacks() {
+fn a_restored_list_reaches_the_peers_in_full() {
     let (reader, other) = (TestBox::start("a", "hall-a"), TestBox::start("b", "hall-a"));
     let _relay = Relay::start(&reader, &other, Connections::Refused, all(), all());
     reader.read();
     reader.mesh.learn_epoch(2, "the test");
-    // The copy shows one upstream as leaving, and another one not at all.
+    // The restored platform lists one upstream as leaving and lacks another.
     let mut objects = vec![entry("u0", "leaving", 3)];
     objects.extend((1..9).map(|i| entry(&format!("u{i}"), "live", i + 1)));
     objects.iter_mut().for_each(|o| o.version.epoch = 2);
     let version = Revision::new(2, 9);
     reader.mesh.take_list(&Changes { version, objects, removed: Vec::new() }, "the test");
-    until("the other box knows the list", || other.mesh.list_now().version.epoch == 2);
+    wait_until("the other box has the list", || other.mesh.list_now().version.epoch == 2);
     assert!(other.knows_left("u0"));
-    assert!(other.knows_left("u9"), "it is waited for");
-    assert_eq!(other.mesh.upstreams(), 10, "it gets work until it is taken for gone");
+    assert!(other.knows_left("u9"), "a lost entry does not count as live while it is on hold");
+    assert_eq!(other.mesh.upstreams(), 10, "a lost upstream gets work until its hold expires");
 }
 
 #[test]
-fn a_table_that_is_written_again_is_held_at_its_new_position() {
+fn a_rewritten_table_is_held_at_its_new_revision() {
     let b = TestBox::start("a", "hall-a");
     b.mesh.take_table(&table("3", 5), "the test");
     let mut again = table("3", 2);
@@ -331,9 +338,9 @@
     assert_eq!((b.mesh.table_number(), b.mesh.held_table().version), (3, again.version));
 }
 
-/// A number means one table, whatever the platform shows later.
+/// A table's number identifies its content, whatever the platform returns later.
 #[test]
-fn a_table_of_the_number_held_replaces_none_of_other_content() {
+fn a_table_of_the_held_number_with_other_content_is_dropped() {
     let b = TestBox::start("a", "hall-a");
     b.mesh.take_table(&table("3", 5), "the test");
     let held = b.mesh.held_table();
--- a/crates/honeypulley_mesh/tests/boxes/support.rs
+++ b/crates/honeypulley_mesh/tests/boxes/support.rs
@@ -1,5 +1,5 @@
-//! Boxes that talk over loopback, with a relay between two of them that loses what a
-//! test says.
+//! Test boxes on the loopback interface, and a relay between two of them that drops the datagrams
+//! that a test selects.
 
 use bytes::Bytes;
 use honeypulley_mesh::decoder::{DecodeError, Decoder, StoreKeys};
@@ -22,11 +22,13 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Prefix of upstreams in the store.
+/// Prefix of the upstreams' entries in the store.
 const UPSTREAMS: &str = "u/";
 
-/// Reads an upstream's entry, whose value is `live` or `leaving` (no other is one), perhaps with
-/// a colon and its start, and a routing table, whose value is its number.
+/// Decodes upstreams' entries and routing tables in the format of these tests.
+///
+/// The value of an entry is `live` or `leaving`, optionally followed by a colon and the upstream's
+/// start time; any other value is malformed. The value of a table is its number.
 #[derive(Debug)]
 struct TestDecoder(StoreKeys);
 
@@ -51,7 +53,7 @@
             "live" => MemberState::Live,
             "leaving" => MemberState::Leaving,
             _ => {
-                let cause = "no entry of an upstream".to_owned();
+                let cause = "neither live nor leaving".to_owned();
                 return Err(DecodeError { key: o.key.clone(), version: o.version, cause });
             }
         };
@@ -66,12 +68,12 @@
     }
 }
 
-/// A position in the one epoch of these tests.
+/// Returns a revision in epoch 1, which most tests use.
 pub const fn at(number: u64) -> Revision {
     Revision::new(1, number)
 }
 
-/// An upstream's entry as the platform keeps it.
+/// Returns an upstream's entry as the platform stores it.
 pub fn entry(name: &str, state: &'static str, version: u64) -> Object {
     Object {
         key: format!("{UPSTREAMS}{name}"),
@@ -80,7 +82,7 @@
     }
 }
 
-/// A routing table as the platform keeps it.
+/// Returns a routing table as the platform stores it.
 pub fn table(number: &'static str, version: u64) -> Object {
     Object {
         key: "t/main".to_owned(),
@@ -89,29 +91,30 @@
     }
 }
 
-/// Binds a port for connections and datagrams alike.
+/// Binds a TCP and a UDP socket to the same free port.
 fn bind() -> (TcpListener, UdpSocket, SocketAddr) {
     loop {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
-        let addr = listener.local_addr().expect("it is bound");
-        // Another test may have the same number for datagrams.
+        let listener = TcpListener::bind("127.0.0.1:0").expect("there is a free port");
+        let addr = listener.local_addr().expect("the socket is bound");
+        // Another test may have bound the same UDP port; then try another one.
         if let Ok(socket) = UdpSocket::bind(addr) {
             return (listener, socket, addr);
         }
     }
 }
 
+/// Returns the fleet key of the test boxes.
 pub fn key() -> FleetKey {
     FleetKey::derive("a-key-of-the-tests-alone")
 }
 
 /// Builds the shared state of a box.
 pub fn mesh(settings: MeshSettings) -> Arc<Mesh> {
-    mesh_by(settings, Clock::start())
+    mesh_with_clock(settings, Clock::start())
 }
 
-/// Builds the shared state of a box that goes by a clock.
-pub fn mesh_by(settings: MeshSettings, clock: Clock) -> Arc<Mesh> {
+/// Builds the shared state of a box with a given clock.
+pub fn mesh_with_clock(settings: MeshSettings, clock: Clock) -> Arc<Mesh> {
     let keys = StoreKeys {
         table: "t/main".to_owned(),
         tables: "t/".to_owned(),
@@ -123,7 +126,7 @@
     Arc::new(Mesh::new(settings, clock, Arc::new(TestDecoder(keys)), leaving))
 }
 
-/// A box that talks to its peers; the test is its store.
+/// A box that runs only its peer duty; the test takes the place of its store.
 pub struct TestBox {
     pub mesh: Arc<Mesh>,
     pub addr: SocketAddr,
@@ -138,43 +141,44 @@
         Self::start_on(name, hall, Vec::new(), Arc::new(MemoryPlatform::default()))
     }
 
-    /// Starts such a box with seeds before a platform.
+    /// Starts such a box with seeds and a platform.
     pub fn start_on(
         name: &str,
         hall: &str,
         seeds: Vec<SocketAddr>,
         platform: Arc<dyn Platform>,
     ) -> Self {
-        let b = Self::start_bare(name, hall, seeds, platform);
+        let b = Self::start_without_list(name, hall, seeds, platform);
         let objects = (0..10).map(|i| entry(&format!("u{i}"), "live", i + 1)).collect();
         b.mesh.take_list(&Changes { version: at(10), objects, removed: Vec::new() }, "the test");
         b
     }
 
-    /// Starts a box that holds nothing.
+    /// Starts a box without upstreams or a table.
     pub fn start_empty(name: &str, hall: &str) -> Self {
-        Self::start_bare(name, hall, Vec::new(), Arc::new(MemoryPlatform::default()))
+        Self::start_without_list(name, hall, Vec::new(), Arc::new(MemoryPlatform::default()))
     }
 
-    fn start_bare(
+    /// Starts the peer duty of a box without upstreams or a table.
+    fn start_without_list(
         name: &str,
         hall: &str,
         seeds: Vec<SocketAddr>,
         platform: Arc<dyn Platform>,
     ) -> Self {
         let (listener, socket, addr) = bind();
-        listener.set_nonblocking(true).expect("it can be set");
-        socket.set_nonblocking(true).expect("it can be set");
+        listener.set_nonblocking(true).expect("the listener can be non-blocking");
+        socket.set_nonblocking(true).expect("the socket can be non-blocking");
         let settings = MeshSettings::builder().name(name).hall(hall).peer(addr).key(key());
         let mesh = mesh(settings.seeds(seeds).build());
         let stop = Stop::default();
         let duty = PeerDuty { mesh: Arc::clone(&mesh), platform, socket, listener };
         let tree = Tree::new(stop.clone()).duty(duty);
-        let thread = std::thread::spawn(move || tree.run().expect("it runs"));
+        let thread = std::thread::spawn(move || tree.run().expect("the duty runs"));
         Self { mesh, addr, hall: hall.to_owned(), stop, thread: Some(thread) }
     }
 
-    /// Makes this box a reader of the platform, which has just answered it.
+    /// Makes this box a reader that has just had an answer of the platform.
     pub fn read(&self) {
         let now = self.mesh.now();
         self.mesh.readers().decide(1, 0.0, now);
@@ -182,12 +186,12 @@
         assert!(self.mesh.readers().is_reading());
     }
 
-    /// Makes another box known to this one, at `addr`.
+    /// Adds another box to this box's address book, at `addr`.
     pub fn know(&self, other: &Self, addr: SocketAddr) {
         self.mesh.learn(BoxAddress { id: other.mesh.id, addr, hall: other.hall.clone() });
     }
 
-    /// Tells whether the list of this box shows an upstream as gone or leaving.
+    /// Returns whether this box lists an upstream as gone or leaving, or not at all.
     pub fn knows_left(&self, name: &str) -> bool {
         let list = self.mesh.held_list().value;
         let found = list.iter().find(|e| e.name == name);
@@ -196,8 +200,9 @@
         )
     }
 
-    /// Waits until this box knows that all of these have left; returns those that it
-    /// does not know in time.
+    /// Waits until this box knows that all these upstreams have left.
+    ///
+    /// Returns those of which it doesn't know `within` that time.
     pub fn until_left(&self, names: &[String], within: Duration) -> Vec<String> {
         let began = Instant::now();
         loop {
@@ -220,80 +225,81 @@
     }
 }
 
-/// What a relay does with connections from the second box to the first.
+/// What a relay does with TCP connections from the second box to the first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Connections {
-    /// They are refused.
+    /// Refuses connections.
     Refused,
-    /// They come up and say nothing.
+    /// Accepts connections and never answers.
     Hung,
 }
 
-/// What a relay does with a datagram.
+/// Filter of a relay; returns whether to forward a datagram of this sender and body.
 pub type Passes = Box<dyn FnMut(NameId, &Body) -> bool + Send>;
 
 /// A relay between two boxes, each of which sees the other at the relay's address.
 ///
-/// Its threads end with the test's process.
+/// Its threads run until the test process ends.
 pub struct Relay {
-    /// Held open, so that connections come up and nobody answers them.
-    _hung: Option<TcpListener>,
+    /// Kept open, so that connections are accepted and never answered.
+    _listener: Option<TcpListener>,
 }
 
 impl Relay {
-    /// Starts a relay that passes datagrams to the second box by `forth`, and to the
-    /// first by `back`; both boxes know each other by it from then on.
+    /// Starts a relay and makes each box know the other at the relay's address.
+    ///
+    /// `to_second` filters the datagrams to the second box, and `to_first` those to the first.
     pub fn start(
         first: &TestBox,
         second: &TestBox,
         connections: Connections,
-        forth: Passes,
-        back: Passes,
+        to_second: Passes,
+        to_first: Passes,
     ) -> Self {
-        let (hung, at_first, as_first) = bind();
-        let at_second = UdpSocket::bind("127.0.0.1:0").expect("a port is free");
-        let as_second = at_second.local_addr().expect("it is bound");
-        let hung = (connections == Connections::Hung).then_some(hung);
+        let (listener, at_first, as_first) = bind();
+        let at_second = UdpSocket::bind("127.0.0.1:0").expect("there is a free port");
+        let as_second = at_second.local_addr().expect("the socket is bound");
+        let listener = (connections == Connections::Hung).then_some(listener);
         let (from_second, from_first) = (clone(&at_first), clone(&at_second));
-        pass(from_first, at_first, second.addr, forth);
-        pass(from_second, at_second, first.addr, back);
+        forward(from_first, at_first, second.addr, to_second);
+        forward(from_second, at_second, first.addr, to_first);
         second.know(first, as_first);
         first.know(second, as_second);
-        Self { _hung: hung }
+        Self { _listener: listener }
     }
 }
 
 fn clone(s: &UdpSocket) -> UdpSocket {
-    s.try_clone().expect("a socket can be cloned")
+    s.try_clone().expect("the socket can be cloned")
 }
 
-/// Passes what comes in at `from` on to a box, from the address of `by`.
-fn pass(from: UdpSocket, by: UdpSocket, to: SocketAddr, mut passes: Passes) {
+/// Forwards the datagrams received on `from` to `to`, from the address of `by`.
+fn forward(from: UdpSocket, by: UdpSocket, to: SocketAddr, mut filter: Passes) {
     std::thread::spawn(move || {
         let mut buffer = [0; 2_000];
         while let Ok((n, _)) = from.recv_from(&mut buffer) {
             let Some(d) = Datagram::open(&buffer[..n], &key()) else { continue };
-            if passes(d.sender, &d.body) {
+            if filter(d.sender, &d.body) {
                 let _ = by.send_to(&buffer[..n], to);
             }
         }
     });
 }
 
-/// Passes everything.
+/// Returns a filter that forwards every datagram.
 pub fn all() -> Passes {
     Box::new(|_, _| true)
 }
 
-/// Passes nothing.
+/// Returns a filter that drops every datagram.
 pub fn nothing() -> Passes {
     Box::new(|_, _| false)
 }
 
-/// Returns what a datagram says, also if it is to be sent on.
+/// Returns the body of a datagram, or of the datagram that it asks to forward.
 pub fn said(body: &Body) -> Body {
     match body {
-        Body::Forward(sealed) => Datagram::open(sealed, &key()).expect("it was sealed").body,
+        Body::Forward(sealed) => Datagram::open(sealed, &key()).expect("a valid seal").body,
         other => other.clone(),
     }
 }
--- a/crates/honeypulley_mesh/tests/pace.rs
+++ b/crates/honeypulley_mesh/tests/pace.rs
@@ -1,4 +1,4 @@
-//! Ends of attempts wait to go with other news, but not for long.
+//! News of finished attempts is delayed to be batched with other news, for a bounded time.
 
 use honeypulley_mesh::pace::Pacer;
 use honeypulley_policy::balance::News;
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 const UPSTREAM: NameId = NameId(7);
-/// Other boxes of a hall of the largest deployment.
+/// Number of other boxes in a hall of the largest deployment.
 const LARGE: usize = 60;
 
 fn ended(ago: u64) -> News {
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn what_begins_is_told_at_once_and_takes_with_it_what_ended() {
+fn a_start_is_sent_at_once_with_the_pending_ends() {
     let mut pacer = Pacer::default();
     let (first, next) = (Time::from_millis(100), Time::from_millis(140));
     pacer.add(ended(0), first);
@@ -32,37 +32,37 @@
     assert_eq!(pacer.due(LARGE), None);
 }
 
-/// In a small hall the end is told nearly at once, in none does it wait for long.
+/// In a small hall an end is sent nearly at once, and in any hall after a bounded delay.
 #[rstest]
 #[case::small(11, 30)]
 #[case::large(LARGE, 150)]
 #[case::huge(184, 150)]
-fn an_end_alone_is_told_soon(#[case] boxes: usize, #[case] most: u64) {
+fn an_end_alone_is_sent_soon(#[case] boxes: usize, #[case] max_ms: u64) {
     let mut pacer = Pacer::default();
     pacer.add(ended(0), Time::from_millis(100));
-    let due = pacer.due(boxes).expect("something waits");
-    assert!(due <= Time::from_millis(100 + most), "{due:?}");
+    let due = pacer.due(boxes).expect("news is pending");
+    assert!(due <= Time::from_millis(100 + max_ms), "{due:?}");
 }
 
-/// A box of 4 requests a second and one of 40, in a hall of 61: both told twice a request.
+/// Guards against two datagrams for each request, at 4 and 40 requests a second in a hall of 61.
 #[rstest]
 #[case::few_requests(4, 6)]
 #[case::many_requests(40, 40)]
-fn a_hall_is_told_less_often_than_twice_a_request(#[case] rate: u64, #[case] most: usize) {
+fn a_request_takes_fewer_than_two_datagrams(#[case] rate: u64, #[case] max_rate: usize) {
     let mut pacer = Pacer::default();
     let mut rng = fastrand::Rng::with_seed(1);
     let secs = 30;
-    let mut made: Vec<(u64, News)> = Vec::new();
+    let mut events: Vec<(u64, News)> = Vec::new();
     for _ in 0..rate * secs {
         let at = rng.u64(..secs * 1_000);
-        made.push((at, open()));
-        made.push((at + 200 + rng.u64(..300), ended(0)));
+        events.push((at, open()));
+        events.push((at + 200 + rng.u64(..300), ended(0)));
     }
-    made.sort_by_key(|&(at, _)| at);
-    let mut made = made.into_iter().peekable();
+    events.sort_by_key(|&(at, _)| at);
+    let mut events = events.into_iter().peekable();
     let mut datagrams = 0;
     for now in 0..(secs + 1) * 1_000 {
-        while let Some((at, news)) = made.next_if(|&(at, _)| at <= now) {
+        while let Some((at, news)) = events.next_if(|&(at, _)| at <= now) {
             pacer.add(news, Time::from_millis(at));
         }
         let now = Time::from_millis(now);
@@ -71,6 +71,6 @@
             datagrams += 1;
         }
     }
-    let a_second = datagrams / secs as usize;
-    assert!(a_second <= most, "{a_second} datagrams a second to each");
+    let per_second = datagrams / secs as usize;
+    assert!(per_second <= max_rate, "{per_second} datagrams a second to each box");
 }
