--- a/crates/honeypulley_mesh/src/state.rs
+++ b/crates/honeypulley_mesh/src/state.rs
@@ -77,7 +77,9 @@
 struct HeldTable {
     /// Revision of the table's object in the store.
     revision: Revision,
+    /// Number of the table, zero if none has been received.
     number: u64,
+    /// Undecoded content of the object.
     raw: Bytes,
 }
 
@@ -103,7 +105,7 @@
     }
 }
 
-/// State that the duties of one box share.
+/// Shared state of one box, through which its duties communicate.
 #[derive(Debug)]
 pub struct Mesh {
     /// Settings of this box.
--- a/crates/honeypulley_mesh/src/store.rs
+++ b/crates/honeypulley_mesh/src/store.rs
@@ -127,6 +127,7 @@
         }
     }
 
+    /// Watches the routing table while this box is a reader.
     async fn watch_tables(&self) {
         let mut cursor = WatchCursor::default();
         loop {
@@ -155,6 +156,7 @@
         }
     }
 
+    /// Watches the list of upstreams while this box is a reader.
     async fn watch_upstreams(&self) {
         let mut cursor = WatchCursor::default();
         loop {
@@ -179,7 +181,7 @@
                     self.mesh.take_changes(&c, "platform");
                     self.mesh.confirm_list();
                     if !(c.objects.is_empty() && c.removed.is_empty()) {
-                        self.batch_changes().await;
+                        self.delay_next_watch().await;
                     }
                 }
                 Err(e) => cursor.handle_error(&e).await,
@@ -188,7 +190,7 @@
     }
 
     /// Delays the next watch, so that its answer returns several changes at once.
-    async fn batch_changes(&self) {
+    async fn delay_next_watch(&self) {
         let is_first = self.mesh.readers().rank(self.mesh.now()) == 0;
         tokio::time::sleep(if is_first { BROADCASTER_BATCH_DELAY } else { STANDBY_BATCH_DELAY })
             .await;
@@ -242,8 +244,8 @@
             }
             Err(e) => {
                 log::info!("store: {what} failed: {e}");
-                let lost = matches!(e, PlatformError::Unknown { .. });
-                if self.mesh.readers().failed(lost) {
+                let timed_out = matches!(e, PlatformError::Unknown { .. });
+                if self.mesh.readers().failed(timed_out) {
                     log::warn!("readers: the platform no longer responds to this box");
                     self.mesh.telling.notify_one();
                 }
--- a/crates/honeypulley_mesh/tests/boxes/model.rs
+++ b/crates/honeypulley_mesh/tests/boxes/model.rs
@@ -107,9 +107,11 @@
     backup: Option<Backup>,
     /// Milliseconds since a restore whose lost writes have not been rewritten yet.
     since_restore: Option<u64>,
+    /// Number of the newest table that a writer wrote.
     table: u64,
     upstreams: [Upstream; UPSTREAMS],
     boxes: Vec<SimBox>,
+    /// Messages sent so far, each with the indices of its sender and receiver.
     sent: Vec<(usize, usize, Message)>,
     runtime: tokio::runtime::Runtime,
 }
--- a/crates/honeypulley_supervisor/src/ring.rs
+++ b/crates/honeypulley_supervisor/src/ring.rs
@@ -16,6 +16,7 @@
     DropNewest,
 }
 
+/// State that the clones of a ring share.
 #[derive(Debug)]
 struct Inner<T> {
     queue: ArrayQueue<T>,
