--- a/crates/honeypulley_policy/src/fleet_limits.rs
+++ b/crates/honeypulley_policy/src/fleet_limits.rs
@@ -1,7 +1,7 @@
-//! Limits that hold over all boxes together, as each box keeps them.
+//! Rate limits enforced across all boxes, with local state only.
 //!
-//! [`FleetLimits`] holds a token bucket for each subject that has a limit and draws on it for
-//! whatever any box admits, as far as this one learns of it.
+//! [`FleetLimits`] keeps one token bucket for each limited subject. It charges the bucket for
+//! the admissions of every box, as far as they have been announced to this one.
 
 mod buckets;
 mod hall_count;
--- a/crates/honeypulley_policy/src/fleet_limits/hall_count.rs
+++ b/crates/honeypulley_policy/src/fleet_limits/hall_count.rs
@@ -1,52 +1,53 @@
-//! What one data hall announces to the others about a subject.
+//! Counts of admissions that data halls exchange.
 
 use super::rule::{RateLimit, Scope};
 use crate::collector::NameId;
 use crate::time::Time;
 use std::time::Duration;
 
-/// Part of the window that [`HallCount::latest`] counts at the most.
+/// Share of the window that [`HallCount::latest`] covers at most.
 pub(super) const LATEST_SHARE: f64 = 0.2;
 
-/// What one data hall announces to the others about a subject.
+/// Admissions of one subject in one data hall, as announced to the others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HallCount {
     /// The data hall.
     pub hall: NameId,
-    /// Requests that its boxes admitted, as the one that tells has counted them, round.
+    /// Cumulative admissions in the hall as counted by the announcing box, modulo 2^16.
     pub sum: u16,
-    /// Those of them that they admitted within the last fifth of the window.
+    /// Admissions within the last fifth of the window.
     pub latest: u16,
-    /// Remaining tokens of the subject, as the sender counts.
+    /// Remaining tokens of the subject, as estimated by the announcing box.
     pub level: i16,
 }
 
 impl HallCount {
-    /// Returns what a data hall that had said nothing admitted beyond its even share.
+    /// Returns the admissions beyond an even share of a hall that was silent before.
     ///
-    /// What it admitted within that share, the limit's rate has made good. The count may be
-    /// of half of its time alone.
+    /// Refills have already compensated for the admissions within that share. The share is
+    /// computed over half of the counted time, since the count may cover no more than that.
     pub(super) fn excess(self, limit: RateLimit, scope: Scope, window: Duration) -> f64 {
         let secs = 0.5 * LATEST_SHARE * window.as_secs_f64();
         let share = limit.rate * secs / scope.halls.max(1) as f64;
         (f64::from(self.latest) - share).max(0.0)
     }
 
-    /// Returns about how many of the latest were admitted within the last of the window.
+    /// Estimates how many of the latest admissions fall within the last `span`.
     ///
-    /// For the first count of another box than before, whose sum goes on from nothing known.
-    pub(super) fn lately(self, span: Duration, window: Duration) -> f64 {
+    /// Used when the announcing box changes, since the cumulative counts of two boxes can't be
+    /// compared.
+    pub(super) fn recent_estimate(self, span: Duration, window: Duration) -> f64 {
         let part = span.as_secs_f64() / (LATEST_SHARE * window.as_secs_f64());
         f64::from(self.latest) * part.min(1.0)
     }
 }
 
-/// What another data hall announced.
+/// Last announcement of another data hall.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct FarHall {
-    /// The announcing box, whose sums are cumulative.
-    pub(super) teller: NameId,
+pub(super) struct RemoteHall {
+    /// The announcing box; sums of different boxes can't be compared.
+    pub(super) announcer: NameId,
     pub(super) sum: u16,
     pub(super) latest: u16,
-    pub(super) heard: Time,
+    pub(super) heard_at: Time,
 }
--- a/crates/honeypulley_policy/src/fleet_limits/rule.rs
+++ b/crates/honeypulley_policy/src/fleet_limits/rule.rs
@@ -1,40 +1,40 @@
-//! How limits are judged, and with whom a box shares them.
+//! Parameters of fleet-wide rate limits.
 
 use std::time::Duration;
 
-/// Requests that all boxes together may admit.
+/// Rate limit that applies to all boxes together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateLimit {
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Requests on top of that at one time.
+    /// Capacity of the token bucket, in requests.
     pub burst: f64,
 }
 
-/// The window over which a limit is judged, and the slack beside it.
+/// Window over which a limit is evaluated, and the tolerated excess.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitRule {
-    /// Time over which what was admitted is summed.
+    /// Time over which admissions are summed.
     pub window: Duration,
-    /// Requests that may be admitted beyond a limit within it.
+    /// Requests that may be admitted beyond the limit within one window.
     pub slack: f64,
 }
 
 impl Default for LimitRule {
-    /// Returns five seconds and twenty requests.
+    /// Returns a window of 5 s with a slack of 20 requests.
     fn default() -> Self {
         Self { window: Duration::from_secs(5), slack: 20.0 }
     }
 }
 
-/// With whom this box shares the limits.
+/// Number of boxes and data halls that share the limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Scope {
     /// Boxes of the fleet, this one included.
     pub boxes: usize,
-    /// Data halls.
+    /// Data halls of the fleet.
     pub halls: usize,
-    /// Whether this box is isolated.
+    /// Whether this box is isolated from its peers.
     pub alone: bool,
 }
 
--- a/crates/honeypulley_policy/src/fleet_limits/usage.rs
+++ b/crates/honeypulley_policy/src/fleet_limits/usage.rs
@@ -1,80 +1,85 @@
-//! What one box knows of what was admitted of one subject.
+//! Admissions of one subject, as known to one box.
 
-use super::hall_count::{FarHall, LATEST_SHARE};
-use super::recent::Recent;
+use super::hall_count::{LATEST_SHARE, RemoteHall};
+use super::recent::SlidingCount;
 use super::rule::{LimitRule, RateLimit, Scope};
 use crate::collector::NameId;
 use crate::time::Time;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Part of its even share of the limit up to which a data hall says nothing to the others.
+/// Fraction of its even share below which a data hall makes no announcements.
 ///
-/// If all stay under it, none has to know of the others. At the usual use of five eighths of
-/// a limit a hall stays under it with a swing of a quarter.
-const QUIET_SHARE: f64 = 0.8;
-/// Part of the burst that a data hall may admit at one time beyond that share unsaid.
-const SURGE_SHARE: f64 = 0.15;
-/// Wait between two counts that a data hall tells of one subject.
+/// While all halls stay below it, the limit holds without any exchange. At the usual load of
+/// 5/8 of a limit, a hall may exceed its even share by a quarter before it announces.
+const SILENT_SHARE: f64 = 0.8;
+/// Fraction of the burst that a data hall may admit beyond that share unannounced.
+const SILENT_BURST_SHARE: f64 = 0.15;
+/// Minimum time between two announcements of a data hall about one subject.
 ///
-/// What is admitted too much meanwhile is a small part of what may be beside the limit.
-pub(super) const TELL_GAP: Duration = Duration::from_millis(50);
-/// Time for which a count of another data hall keeps this one telling.
-const ECHO_TIME: Duration = Duration::from_secs(2);
-/// Part of the burst under which a subject counts as near its limit.
-const TIGHT_SHARE: f64 = 0.25;
-/// Part of its own share that an isolated box admits, of a subject that was
-/// near its limit.
+/// The excess admitted in the meantime is small compared with the allowed slack.
+pub(super) const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(50);
+/// Time for which an announcement of another data hall makes this one announce as well.
+const REPLY_TIME: Duration = Duration::from_secs(2);
+/// Fraction of the burst below which a subject counts as near its limit.
+const NEAR_LIMIT_SHARE: f64 = 0.25;
+/// Fraction of its share that an isolated box admits of a subject near its limit.
 ///
-/// The others admit the whole limit, so that a third of the boxes cut off would admit a third
-/// more than it; with this a ninth, which the tenth and the slack bear.
-const CUT_SHARE: f64 = 0.33;
-/// Requests' worth of silence on a subject near its limit by which a box knows that it
-/// is isolated; in a data hall of three a third of them would be announced.
-const SILENT_REQUESTS: f64 = 12.0;
-/// Longest such silence; of a limit so small that it takes longer, none says anything.
-const MOST_SILENCE: Duration = Duration::from_millis(1_500);
-/// Silence after which a box that is cut off knows it, so that the subject has just
-/// stopped asking where it does not.
-const KNOWN_SILENCE: Duration = Duration::from_millis(2_000);
-/// Least time of such a silence.
-const LEAST_SILENCE: Duration = Duration::from_millis(200);
-/// Requests that a box may be ahead of its own share, so that it is not long refused for what
-/// others left unused.
-pub(super) const MOST_DEBT: f64 = -1.0;
+/// The connected boxes still admit the whole limit. If a third of the boxes were isolated and
+/// used their full share, the excess would be a third of the limit. With this factor it is a
+/// ninth, which the permitted excess of a tenth plus the slack covers.
+const ISOLATED_SHARE: f64 = 0.33;
+/// Silence, in requests at the limit's rate, after which a box counts as isolated.
+///
+/// Applies to subjects near their limits. With three data halls, the peers in this hall would
+/// announce a third of these requests.
+const SILENCE_REQUESTS: f64 = 12.0;
+/// Longest silence used for detection; for limits that need longer, silence means nothing.
+const MAX_SILENCE: Duration = Duration::from_millis(1_500);
+/// Silence after which the fleet's membership has detected any isolation of this box.
+///
+/// If it has not, the subject has merely stopped sending requests.
+const DETECTED_SILENCE: Duration = Duration::from_millis(2_000);
+/// Shortest silence that counts as isolation.
+const MIN_SILENCE: Duration = Duration::from_millis(200);
+/// Lowest level of a box's own share.
+///
+/// A box may use tokens that other boxes left unused. Bounding the debt keeps it from
+/// rejecting requests for long after it becomes isolated.
+pub(super) const MIN_LEVEL: f64 = -1.0;
 
-/// What was admitted of one subject.
+/// Admissions and remaining tokens of one subject.
 #[derive(Debug)]
 pub(super) struct Usage {
     pub(super) limit: RateLimit,
     pub(super) bucket: Bucket,
-    /// This box's share of the limit, for when it is alone.
-    pub(super) own: Bucket,
-    /// Admissions of this box, as announced.
-    pub(super) told: u16,
-    /// Sums that peers of this data hall announced.
-    pub(super) boxes: BTreeMap<NameId, u16>,
-    /// Admissions of this data hall.
-    pub(super) near: Recent,
-    /// All of them that this box knows of, counted round.
+    /// This box's share of the limit, used while it is isolated.
+    pub(super) own_share: Bucket,
+    /// Cumulative admissions of this box, as announced to its peers.
+    pub(super) announced: u16,
+    /// Last cumulative counts announced by the peers in this data hall.
+    pub(super) peer_sums: BTreeMap<NameId, u16>,
+    /// Admissions in this data hall within the window.
+    pub(super) hall_recent: SlidingCount,
+    /// Cumulative admissions in this data hall known to this box, modulo 2^16.
     pub(super) hall_sum: u16,
-    /// What the other data halls announced.
-    pub(super) far: BTreeMap<NameId, FarHall>,
-    /// When it was last checked whether an announcement is due.
-    pub(super) looked: Option<Time>,
-    /// When a box of this data hall last announced to the others.
-    pub(super) told_at: Option<Time>,
-    /// Whether something was admitted here that was not announced.
-    pub(super) untold: bool,
-    /// When a peer last announced it.
-    pub(super) heard: Time,
-    /// Whether it was near its limit when this box last heard of its peers.
-    pub(super) tight: bool,
-    /// Whether the remaining tokens are an estimate, since this box has just started.
-    pub(super) guessed: bool,
+    /// Last announcements of the other data halls.
+    pub(super) remote_halls: BTreeMap<NameId, RemoteHall>,
+    /// Time at which an announcement was last found to be due.
+    pub(super) due_at: Option<Time>,
+    /// Time of this data hall's last announcement to the others.
+    pub(super) announced_at: Option<Time>,
+    /// Whether there are admissions that were not announced to the other data halls.
+    pub(super) unannounced: bool,
+    /// Time of the last announcement of a peer about this subject.
+    pub(super) heard_at: Time,
+    /// Whether the subject was near its limit when this box was last connected.
+    pub(super) near_limit: bool,
+    /// Whether the remaining tokens are an estimate made after a start.
+    pub(super) estimated: bool,
 }
 
-/// Tokens that come at a rate, up to a burst.
+/// A token bucket.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Bucket {
     pub(super) level: f64,
@@ -83,12 +88,12 @@
 
 impl Bucket {
     pub(super) fn refill(&mut self, rate: f64, burst: f64, now: Time) {
-        let came = rate * now.since(self.at).as_secs_f64();
-        self.level = (self.level + came).min(burst.max(1.0));
+        let added = rate * now.since(self.at).as_secs_f64();
+        self.level = (self.level + added).min(burst.max(1.0));
         self.at = now;
     }
 
-    /// Returns the time until there is a token.
+    /// Returns the time until a whole token is available.
     pub(super) fn wait(&self, rate: f64) -> Duration {
         let secs = ((1.0 - self.level) / rate.max(f64::MIN_POSITIVE)).max(0.0);
         Duration::try_from_secs_f64(secs).unwrap_or(Duration::MAX)
@@ -100,103 +105,104 @@
         limit: RateLimit,
         level: f64,
         window: Duration,
-        first: u16,
+        initial: u16,
         now: Time,
     ) -> Self {
         Self {
             limit,
             bucket: Bucket { level: level.max(1.0), at: now },
-            own: Bucket { level: 1.0, at: now },
-            told: first,
-            boxes: BTreeMap::new(),
-            near: Recent::new(window),
-            hall_sum: first,
-            far: BTreeMap::new(),
-            looked: None,
-            told_at: None,
-            untold: false,
-            heard: now,
-            tight: false,
-            guessed: false,
+            own_share: Bucket { level: 1.0, at: now },
+            announced: initial,
+            peer_sums: BTreeMap::new(),
+            hall_recent: SlidingCount::new(window),
+            hall_sum: initial,
+            remote_halls: BTreeMap::new(),
+            due_at: None,
+            announced_at: None,
+            unannounced: false,
+            heard_at: now,
+            near_limit: false,
+            estimated: false,
         }
     }
 
-    /// Applies a peer's remaining burst, where this box has only an estimate.
+    /// Lowers an estimated level to the one that a peer announced.
     pub(super) fn correct(&mut self, level: i16) {
-        if self.guessed {
-            self.guessed = false;
+        if self.estimated {
+            self.estimated = false;
             self.bucket.level = self.bucket.level.min(level.into());
         }
     }
 
-    /// Returns the remaining tokens, as announced.
-    pub(super) fn told_level(&self) -> i16 {
-        // Whole requests, the sign included, within what the number holds.
+    /// Returns the remaining tokens in the form used for announcements.
+    pub(super) fn announced_level(&self) -> i16 {
+        // The cast saturates at the bounds of the type.
         self.bucket.level.floor() as i16
     }
 
     pub(super) fn refill(&mut self, scope: Scope, now: Time) {
         let RateLimit { rate, burst } = self.limit;
         self.bucket.refill(rate, burst, now);
-        self.own.refill(self.own_rate(scope), burst / scope.boxes.max(1) as f64, now);
-        if !self.is_alone(scope, now) {
-            self.tight = self.bucket.level < TIGHT_SHARE * burst;
+        self.own_share.refill(self.own_rate(scope), burst / scope.boxes.max(1) as f64, now);
+        if !self.is_isolated(scope, now) {
+            self.near_limit = self.bucket.level < NEAR_LIMIT_SHARE * burst;
         }
     }
 
-    /// Returns what this box may admit a second while it is isolated.
+    /// Returns the rate at which this box may admit requests while it is isolated.
     pub(super) fn own_rate(&self, scope: Scope) -> f64 {
-        let share = if self.tight { CUT_SHARE } else { 1.0 };
+        let share = if self.near_limit { ISOLATED_SHARE } else { 1.0 };
         self.limit.rate * share / scope.boxes.max(1) as f64
     }
 
-    /// Returns whether this box is isolated from its peers' admissions.
+    /// Returns whether this box no longer receives its peers' announcements.
     ///
-    /// Of a subject near its limit, peers would announce all the time, unless the limit is so small
-    /// that they have nothing to tell for a while: a box that took that for being cut off would
-    /// spend a share of its own beside them.
-    pub(super) fn is_alone(&self, scope: Scope, now: Time) -> bool {
-        if scope.alone || scope.boxes < 2 || !self.tight {
+    /// Peers announce a subject near its limit continuously. The exception are limits so small
+    /// that nothing is admitted for a while: if a box took that silence for isolation, it would
+    /// admit its own share in addition to what the peers admit.
+    pub(super) fn is_isolated(&self, scope: Scope, now: Time) -> bool {
+        if scope.alone || scope.boxes < 2 || !self.near_limit {
             return scope.alone;
         }
-        let least = SILENT_REQUESTS / self.limit.rate;
-        if least > MOST_SILENCE.as_secs_f64() {
+        let silence_secs = SILENCE_REQUESTS / self.limit.rate;
+        if silence_secs > MAX_SILENCE.as_secs_f64() {
             return false;
         }
-        let silence = now.since(self.heard);
-        silence > Duration::from_secs_f64(least).max(LEAST_SILENCE) && silence < KNOWN_SILENCE
+        let silence = now.since(self.heard_at);
+        silence > Duration::from_secs_f64(silence_secs).max(MIN_SILENCE)
+            && silence < DETECTED_SILENCE
     }
 
-    pub(super) fn took(&mut self, n: u32, now: Time) {
+    pub(super) fn record_admitted(&mut self, n: u32, now: Time) {
         self.bucket.level -= f64::from(n);
-        self.near.add(n, now);
+        self.hall_recent.add(n, now);
         self.hall_sum = self.hall_sum.wrapping_add(n as u16);
-        self.untold = true;
+        self.unannounced = true;
     }
 
-    /// Returns whether an announcement to the other data halls is due, once in each gap.
-    pub(super) fn is_due(&mut self, rule: LimitRule, scope: Scope, now: Time) -> bool {
-        let waits = self.looked.is_some_and(|at| now.since(at) < TELL_GAP);
-        if scope.halls < 2 || !self.untold || waits {
+    /// Returns whether an announcement is due, at most once per [`ANNOUNCE_INTERVAL`].
+    pub(super) fn is_announcement_due(&mut self, rule: LimitRule, scope: Scope, now: Time) -> bool {
+        let is_too_soon = self.due_at.is_some_and(|at| now.since(at) < ANNOUNCE_INTERVAL);
+        if scope.halls < 2 || !self.unannounced || is_too_soon {
             return false;
         }
         let is_near = self.is_near_limit(rule, scope, now);
         if is_near {
-            self.looked = Some(now);
+            self.due_at = Some(now);
         }
         is_near
     }
 
-    /// Returns whether what this data hall admits may matter to the others.
+    /// Returns whether this data hall admits enough to affect the others.
     fn is_near_limit(&mut self, rule: LimitRule, scope: Scope, now: Time) -> bool {
-        if self.far.values().any(|f| now.since(f.heard) < ECHO_TIME) {
+        if self.remote_halls.values().any(|f| now.since(f.heard_at) < REPLY_TIME) {
             return true;
         }
         let RateLimit { rate, burst } = self.limit;
         let (halls, secs) = (scope.halls as f64, rule.window.as_secs_f64());
-        let share = |window: f64, more: f64| (QUIET_SHARE * rate).mul_add(window, more) / halls;
-        let is_busy = f64::from(self.near.sum(now)) > share(secs, rule.slack);
-        let surge = share(LATEST_SHARE * secs, SURGE_SHARE.mul_add(burst, rule.slack));
-        is_busy || f64::from(self.near.latest(now)) > surge
+        let share = |window: f64, extra: f64| (SILENT_SHARE * rate).mul_add(window, extra) / halls;
+        let is_busy = f64::from(self.hall_recent.sum(now)) > share(secs, rule.slack);
+        let max_recent = share(LATEST_SHARE * secs, SILENT_BURST_SHARE.mul_add(burst, rule.slack));
+        is_busy || f64::from(self.hall_recent.latest(now)) > max_recent
     }
 }
