--- a/crates/honeypulley_policy/src/join.rs
+++ b/crates/honeypulley_policy/src/join.rs
@@ -1,41 +1,42 @@
-//! When a new box may start to serve, and on which version.
+//! Decides when a new box may start to serve, and on which version.
 //!
-//! It must not start on a version older than one that any box it can ask has in
-//! force. The platform's word is enough, since it orders versions. While the
-//! platform is away, the word of a few peers is, or of all there are.
+//! A box must not start on a version older than the one in force on any box that it can
+//! reach. The version accepted by the platform suffices, since the platform orders versions.
+//! While the platform is unavailable, the versions of [`JOIN_PEERS`] peers suffice, or of all
+//! peers if there are fewer.
 
 use crate::collector::NameId;
 use std::collections::BTreeMap;
 
-/// Peers whose version must be known before a box starts on their word.
+/// Number of peers whose versions must be known to join without the platform.
 pub const JOIN_PEERS: usize = 3;
 
-/// By whose word a box starts.
+/// Source of the information on which a box joined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JoinedBy {
-    /// The platform's.
+    /// The version accepted by the platform.
     Platform,
-    /// Its peers'.
+    /// The versions in force on its peers.
     Peers,
 }
 
-/// How far a box is in joining.
+/// Progress of a box that joins the fleet.
 #[derive(Clone, Debug, Default)]
 pub struct Join {
     done: bool,
-    told: BTreeMap<NameId, u64>,
+    peer_versions: BTreeMap<NameId, u64>,
     platform: Option<u64>,
 }
 
 impl Join {
-    /// Records the version that a peer has in force, zero if it has none.
+    /// Records the version in force on a peer, or zero if it has none.
     pub fn peer_told(&mut self, peer: NameId, version: u64) {
         if !self.done {
-            self.told.insert(peer, version);
+            self.peer_versions.insert(peer, version);
         }
     }
 
-    /// Records the version that the platform has accepted.
+    /// Records the version accepted by the platform.
     pub const fn platform_told(&mut self, version: u64) {
         self.platform = Some(version);
     }
@@ -46,17 +47,17 @@
         self.done
     }
 
-    /// Joins on `version`, zero if the box holds none, if that is allowed now.
+    /// Joins on `version` if this is allowed now.
     ///
-    /// `others` is the number of other live boxes. Returns by whose word the box
-    /// joined, at the one call that joins.
+    /// `version` is zero if the box has none, and `others` is the number of other live boxes.
+    /// Returns the source for the call that joins, and `None` for all others.
     pub fn decide(&mut self, version: u64, others: usize) -> Option<JoinedBy> {
         if self.done || version == 0 {
             return None;
         }
-        let newest = self.told.values().max().copied().unwrap_or(0);
+        let newest = self.peer_versions.values().max().copied().unwrap_or(0);
         let by_platform = self.platform.is_some_and(|v| version >= v);
-        let by_peers = others > 0 && self.told.len() >= JOIN_PEERS.min(others);
+        let by_peers = others > 0 && self.peer_versions.len() >= JOIN_PEERS.min(others);
         if version < newest || !(by_platform || by_peers) {
             return None;
         }
--- a/crates/honeypulley_policy/src/organisations.rs
+++ b/crates/honeypulley_policy/src/organisations.rs
@@ -1,7 +1,7 @@
-//! Organisations: who a request belongs to, and how much each may ask of the whole fleet.
+//! Organisations that own callers' keys and have rate limits over the whole fleet.
 //!
-//! [`Organisations`] finds the organisation that holds a key. What each is admitted over all
-//! boxes together is bounded by [`FleetLimits`](crate::fleet_limits::FleetLimits).
+//! [`Organisations`] looks up the organisation for a key. The limits are enforced by
+//! [`FleetLimits`](crate::fleet_limits::FleetLimits).
 
 mod directory;
 
--- a/crates/honeypulley_policy/src/organisations/directory.rs
+++ b/crates/honeypulley_policy/src/organisations/directory.rs
@@ -1,4 +1,4 @@
-//! Which organisation holds a key.
+//! Lookup of organisations by key.
 
 use crate::collector::NameId;
 use crate::fleet_limits::RateLimit;
@@ -7,10 +7,10 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// Digest of a caller's key; the key itself is kept nowhere.
+/// Digest of a caller's key: the first 16 bytes of its BLAKE3 hash.
 ///
-/// Sixteen bytes of BLAKE3. Which key was asked for can't be told from the time of a look-up,
-/// since keys are compared by their digests alone.
+/// The key itself is not stored. Since only digests are compared, the timing of a lookup
+/// reveals nothing about the keys.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub struct KeyDigest([u8; 16]);
 
@@ -30,20 +30,20 @@
     }
 }
 
-/// One organisation as a table states it.
+/// An organisation as defined in a routing table.
 #[derive(Clone, PartialEq, bon::Builder)]
 pub struct OrganisationSpec {
-    /// Name, which upstreams receive.
+    /// Name, which is forwarded to upstreams.
     #[builder(into)]
     pub name: String,
     /// Keys of its callers.
     pub keys: Vec<String>,
-    /// Rank of its requests, if it goes before that of their route; zero goes first.
+    /// Priority that overrides the one of the route; zero is the highest.
     pub priority: Option<u8>,
-    /// Requests a second over all boxes; zero for no limit.
+    /// Allowed requests per second over all boxes; zero means no limit.
     #[builder(default)]
     pub rate: f64,
-    /// Requests on top of that at one time.
+    /// Allowed burst, in requests.
     #[builder(default)]
     pub burst: f64,
 }
@@ -58,55 +58,56 @@
     }
 }
 
-/// One organisation of a table in force.
+/// An organisation of the routing table in force.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Organisation {
-    /// Its key in all that boxes count and tell.
+    /// Identifier in counters and announcements.
     pub id: NameId,
-    /// Its name.
+    /// Name, which is forwarded to upstreams.
     pub name: Arc<str>,
-    /// Rank of its requests, if it goes before that of their route.
+    /// Priority that overrides the one of the route.
     pub priority: Option<u8>,
-    /// What it may send, if that is limited.
+    /// Rate limit, if there is one.
     pub limit: Option<RateLimit>,
 }
 
-/// Why a table's organisations were refused.
+/// Reason why the organisations of a routing table were rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum OrganisationError {
-    /// Two organisations have one name.
-    #[error("organisation {0} stands there twice")]
+    /// Two organisations have the same name.
+    #[error("organisation {0} is defined twice")]
     Twice(String),
-    /// A name that fits no header.
-    #[error("'{0}' is no name for an organisation: one to 255 visible ASCII characters")]
+    /// A name can't be sent in a header.
+    #[error("'{0}' is no name for an organisation: expected 1 to 255 visible ASCII characters")]
     Name(String),
-    /// Two organisations hold one key.
+    /// Two organisations hold the same key.
     #[error("organisations {first} and {second} hold the same key")]
     SharedKey {
-        /// The one that stands first.
+        /// The organisation that is defined first.
         first: String,
-        /// The other one.
+        /// The other organisation.
         second: String,
     },
-    /// A key is empty, and so would fit callers without one.
+    /// A key is empty, so it would match callers without a key.
     #[error("organisation {0} holds an empty key")]
     EmptyKey(String),
-    /// A rate or burst is negative or no number.
-    #[error("organisation {name}: {what} {value}, expected a number from zero on")]
+    /// A rate or burst is negative or not finite.
+    #[error("organisation {name}: {what} is {value}, expected a finite number of at least 0")]
     Limit {
         /// The organisation.
         name: String,
-        /// Which of its limits.
+        /// Name of the invalid field.
         what: &'static str,
-        /// What stands there.
+        /// The invalid value.
         value: String,
     },
 }
 
-/// All organisations of one table.
+/// All organisations of a routing table, indexed by key.
 ///
-/// One of them with one key takes 133 bytes, its name of 21 included: 77 MB for the 580,000 to
-/// build towards. A look-up takes 0.2 us, whether the key is held or not (`benches/keys.rs`).
+/// An organisation with one key and a name of 21 bytes takes 133 bytes, which makes 77 MB for
+/// the design target of 580,000 organisations. A lookup takes 0.2 us, whether it finds the key
+/// or not (`benches/keys.rs`).
 #[derive(Clone, Debug, Default)]
 pub struct Organisations {
     all: Vec<Organisation>,
@@ -114,40 +115,40 @@
 }
 
 impl Organisations {
-    /// Builds the directory of one table.
+    /// Builds the index for a routing table.
     ///
     /// # Errors
-    /// Returns the first organisation that can't be served; a table is taken whole or not.
+    /// Returns the first error found; a routing table is accepted as a whole or not at all.
     pub fn new(specs: Vec<OrganisationSpec>) -> Result<Self, OrganisationError> {
         let keys = specs.iter().map(|s| s.keys.len()).sum();
-        let mut built =
+        let mut organisations =
             Self { all: Vec::with_capacity(specs.len()), by_key: HashMap::with_capacity(keys) };
         let mut names = HashSet::with_capacity(specs.len());
         for spec in specs {
             if !names.insert(spec.name.clone()) {
                 return Err(OrganisationError::Twice(spec.name));
             }
-            built.add(spec)?;
+            organisations.add(spec)?;
         }
-        Ok(built)
+        Ok(organisations)
     }
 
     fn add(&mut self, spec: OrganisationSpec) -> Result<(), OrganisationError> {
-        let is_visible = spec.name.bytes().all(|b| b.is_ascii_graphic());
-        if !is_visible || spec.name.is_empty() || spec.name.len() > MOST_NAME {
+        let is_printable = spec.name.bytes().all(|b| b.is_ascii_graphic());
+        if !is_printable || spec.name.is_empty() || spec.name.len() > MAX_NAME {
             return Err(OrganisationError::Name(spec.name));
         }
-        let limit = limit(&spec)?;
-        let place = self.all.len() as u32;
+        let limit = parse_limit(&spec)?;
+        let index = self.all.len() as u32;
         for key in &spec.keys {
             if key.is_empty() {
                 return Err(OrganisationError::EmptyKey(spec.name));
             }
             match self.by_key.entry(KeyDigest::of(key.as_bytes())) {
                 Entry::Vacant(e) => {
-                    e.insert(place);
+                    e.insert(index);
                 }
-                Entry::Occupied(e) if *e.get() == place => {}
+                Entry::Occupied(e) if *e.get() == index => {}
                 Entry::Occupied(e) => {
                     let first = self.all[*e.get() as usize].name.to_string();
                     return Err(OrganisationError::SharedKey { first, second: spec.name });
@@ -169,34 +170,34 @@
         self.by_key.get(&key).map(|&i| &self.all[i as usize])
     }
 
-    /// Returns all of them.
+    /// Iterates over all organisations.
     pub fn iter(&self) -> impl Iterator<Item = &Organisation> {
         self.all.iter()
     }
 
-    /// Returns the limits of those that have one.
+    /// Iterates over the organisations that have a rate limit.
     pub fn limits(&self) -> impl Iterator<Item = (NameId, RateLimit)> {
         self.all.iter().filter_map(|o| Some((o.id, o.limit?)))
     }
 
-    /// Returns how many there are.
+    /// Returns the number of organisations.
     #[must_use]
     pub fn len(&self) -> usize {
         self.all.len()
     }
 
-    /// Returns whether there is none.
+    /// Returns whether there are no organisations.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.all.is_empty()
     }
 }
 
-/// Longest name of an organisation, in bytes; it goes into a header.
-const MOST_NAME: usize = 255;
+/// Longest name of an organisation in bytes; it is sent in a header.
+const MAX_NAME: usize = 255;
 
-/// Reads what an organisation may send; a rate of zero stands for no limit.
-fn limit(spec: &OrganisationSpec) -> Result<Option<RateLimit>, OrganisationError> {
+/// Validates an organisation's rate and burst; a rate of zero means no limit.
+fn parse_limit(spec: &OrganisationSpec) -> Result<Option<RateLimit>, OrganisationError> {
     for (what, value) in [("rate", spec.rate), ("burst", spec.burst)] {
         if !value.is_finite() || value < 0.0 {
             let (name, value) = (spec.name.clone(), value.to_string());
--- a/crates/honeypulley_policy/src/revision.rs
+++ b/crates/honeypulley_policy/src/revision.rs
@@ -4,11 +4,12 @@
 
 /// A position in the store's change feed.
 ///
-/// The store numbers its changes. Restored from a backup, it numbers on from an earlier point, so
-/// that a number says something within its epoch alone. Positions order by epoch first.
+/// The store numbers its changes. After a restore from a backup it continues from an earlier
+/// number, so numbers are comparable within one epoch only. Positions are ordered by epoch first.
 ///
-/// A position tells where to read on and how complete a copy is. It does not tell which of two
-/// contents is newer: that is the order of their writer, which outlives a restore.
+/// A position indicates where to continue reading and how complete a copy is. It does not
+/// indicate which of two contents is newer: this is defined by the order of their writer, which
+/// a restore does not affect.
 ///
 /// ```
 /// use honeypulley_policy::revision::Revision;
@@ -19,7 +20,7 @@
 /// ```
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Revision {
-    /// How often the store was restored, as it counts.
+    /// Number of restores, as counted by the store.
     pub epoch: u64,
     /// Number of the change within its epoch.
     pub number: u64,
@@ -29,7 +30,7 @@
     /// The position before every change of every epoch.
     pub const ZERO: Self = Self { epoch: 0, number: 0 };
 
-    /// Builds a position.
+    /// Creates a position.
     #[must_use]
     pub const fn new(epoch: u64, number: u64) -> Self {
         Self { epoch, number }
--- a/crates/honeypulley_policy/src/signals.rs
+++ b/crates/honeypulley_policy/src/signals.rs
@@ -1,28 +1,28 @@
-//! What an upstream says of itself in one answer.
+//! Signals that upstreams send in the headers of their answers.
 
 use crate::chooser::LoadReport;
 use std::time::Duration;
 
-/// Signals in the head of an answer, each absent if the answer has none.
+/// Signals in the head of one answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Signals {
-    /// Load that the upstream reported.
+    /// Reported load.
     pub load: Option<LoadReport>,
-    /// Rate limit over all boxes, in requests a second.
+    /// Advertised rate limit over all boxes, in requests per second.
     pub limit: Option<f64>,
     /// Whether the upstream announced its shutdown.
     pub leaving: bool,
-    /// Time for which the upstream wants nothing from the box that it answers.
+    /// Time for which this box must not send requests to the upstream.
     pub backoff: Option<Duration>,
 }
 
-/// Which signals of an answer changed what a policy knew.
+/// Signals of an answer that changed the state of a policy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SignalChanges {
     /// The rate limit.
     pub limit: bool,
     /// The announcement of a shutdown.
     pub leaving: bool,
-    /// The end of a backoff, which is later now.
+    /// The end of the backoff, which was extended.
     pub backoff: bool,
 }
