--- a/crates/honeypulley_policy/src/quarantine.rs
+++ b/crates/honeypulley_policy/src/quarantine.rs
@@ -1,14 +1,14 @@
-//! Requests under which upstreams end.
+//! Detects and holds requests that crash the upstreams which run them.
 //!
-//! A request may carry a fault that ends the process of whichever upstream runs it: a query
-//! of death. Retry, hedge and the caller's own repeats, each right by itself, then carry it
-//! from one upstream to the next, and every request that runs beside it is lost. Evidence by
-//! upstream can't show that, so it is kept here by request, over all boxes.
+//! A request may trigger a fault that terminates any upstream that runs it (a "query of
+//! death"). Retries, hedges and the caller's own repeats then take it from one upstream to the
+//! next, and all requests that run concurrently on these upstreams fail as well. Evidence per
+//! upstream can't reveal this, so evidence is collected here per request, over all boxes.
 //!
-//! Whatever was open on an upstream when it ended is suspected, and one of it is guilty. A
-//! request that was answered well once is cleared: a guilty one never is. One under which
-//! several upstreams ended **one after the other** is held: no box sends it on until the hold
-//! lapses, and then to one upstream, as a trial.
+//! All requests in flight on an upstream when it crashes become suspects. One of them caused
+//! the crash. A success clears a suspect, since a request that causes crashes never succeeds. A
+//! request during which several upstreams crashed **one after the other** is held: no box
+//! forwards it until the hold expires, and then it is sent to a single upstream as a trial.
 
 mod fingerprint;
 mod record;
@@ -20,70 +20,71 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Requests that are remembered.
+/// Maximum number of tracked requests.
 ///
-/// An end leaves one for each request that was open, some twenty, of which all but one are
-/// cleared by their next answer. At 300 bytes each they take 600 KB.
+/// A crash adds a record for each request in flight, about twenty. All but one of them are
+/// cleared by their next answer. At 300 bytes each, the records take 600 KB.
 pub const MOST_RECORDS: usize = 2_048;
-/// Held requests that are announced to boxes that may not know them, and stored.
+/// Maximum number of held requests that are stored and announced to new boxes.
 ///
-/// What the store holds of them fits 32 KB, far below the platform's limit of a value.
+/// They fit into 32 KB in the store, far below the platform's size limit for a value.
 pub const MOST_HELD: usize = 256;
-/// Time between two times that a box tells of a hold by which it refuses.
+/// Minimum time between two announcements of a hold that leads to rejections.
 ///
-/// A box that tells the others may have missed the news; half of the smallest bound within
-/// which a change must be known everywhere, so that one that is lost is made good in time.
-const TELL_GAP: Duration = Duration::from_secs(1);
+/// Holds are announced again because peers may have missed the first announcement. The interval
+/// is half of the shortest time within which a change must be known on all boxes, so that a
+/// lost announcement is repeated in time.
+const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How a request may be treated.
+/// Restriction on sending a request to upstreams, from none to a hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Standing {
-    /// As any other.
+pub enum Restriction {
+    /// No restriction.
     Clear,
-    /// One upstream ended under it: not on two at a time.
+    /// One upstream crashed during the request: it is retried, but not hedged.
     ///
-    /// Nearly all that bear this are innocent: they ran beside the guilty one. A second send
-    /// after the first serves them; a hedge would let a guilty one end two for nothing.
-    Watched,
-    /// Upstreams ended under it: sent to one upstream, and not again.
-    Single,
-    /// Not sent to any.
+    /// Nearly all such requests merely ran concurrently with the cause, and a retry serves them.
+    /// A hedge could crash a second upstream at the same time without any benefit.
+    NoHedge,
+    /// Several upstreams crashed during the request: it is sent once, without retries.
+    NoRetry,
+    /// The request is rejected.
     Held {
-        /// Time until one send is allowed, as a trial.
+        /// Time until it may be sent once, as a trial.
         left: Duration,
     },
 }
 
-/// An end of an upstream under a request.
+/// A crash of an upstream during a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct End {
     /// The upstream.
     pub upstream: NameId,
     /// When the request was sent to it.
     pub began: Time,
-    /// When it was seen to have ended.
+    /// When the crash was detected.
     pub ended: Time,
 }
 
-/// A request that has just been put on hold, or is on hold.
+/// Hold on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Hold {
     /// The request.
     pub request: Fingerprint,
     /// What the fingerprint covers.
     pub scope: Scope,
-    /// Upstreams that ended under it, as far as this box knows.
+    /// Number of crashes during the request that are known to this box.
     pub ends: usize,
-    /// Time until one send is allowed.
+    /// Time until a trial is allowed.
     pub left: Duration,
-    /// Trials after which it was held again.
+    /// Number of failed trials.
     pub trials: u8,
 }
 
-/// What boxes announce about requests; times are sent as spans.
+/// Announcement about a request; points in time are sent as durations before the present.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestNews {
-    /// An upstream ended under a request.
+    /// An upstream crashed during a request.
     Ended {
         /// The request.
         request: Fingerprint,
@@ -93,14 +94,14 @@
         upstream: NameId,
         /// Time since the request was sent to it.
         began: Duration,
-        /// Time since it ended.
+        /// Time since the crash.
         ended: Duration,
     },
-    /// A suspected request was answered well.
+    /// A suspected request succeeded.
     Served {
         /// The request.
         request: Fingerprint,
-        /// Time since.
+        /// Time since the success.
         ago: Duration,
     },
     /// A request is held.
@@ -109,17 +110,17 @@
         request: Fingerprint,
         /// What the fingerprint covers.
         scope: Scope,
-        /// Time until one send is allowed.
+        /// Time until a trial is allowed.
         left: Duration,
-        /// Trials after which it was held again.
+        /// Number of failed trials.
         trials: u8,
     },
 }
 
-/// One box's knowledge of suspected and held requests.
+/// Suspected and held requests, as known to one box.
 ///
-/// Announcements may arrive late, twice and in any order: a record keeps the crashes
-/// themselves and reckons from all of them.
+/// Announcements may be delayed, duplicated and reordered. Records therefore store the crashes
+/// themselves, and the restriction is derived from all of them.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     records: BTreeMap<Fingerprint, Record>,
@@ -128,19 +129,22 @@
 }
 
 impl Quarantine {
-    /// Returns how a request may be treated.
-    pub fn standing(&mut self, request: Fingerprints, now: Time) -> Standing {
-        // Nothing is known of nearly all requests, also while others are suspected.
+    /// Returns the restriction on sending a request.
+    pub fn restriction(&mut self, request: Fingerprints, now: Time) -> Restriction {
+        // Fast path: nearly all requests have no record, even while others are suspected.
         if !request.each().iter().any(|(_, f)| self.records.contains_key(f)) {
-            return Standing::Clear;
+            return Restriction::Clear;
         }
-        let guilty = self.guilty_ends();
+        let explained = self.explained_crashes();
         let each = request.each();
-        each.map(|(_, f)| self.judge(f, &guilty, now)).into_iter().max().unwrap_or(Standing::Clear)
+        each.map(|(_, f)| self.evaluate(f, &explained, now))
+            .into_iter()
+            .max()
+            .unwrap_or(Restriction::Clear)
     }
 
     /// Records that an upstream crashed during a request of this box.
-    pub fn ended(&mut self, request: Fingerprints, end: End, now: Time) {
+    pub fn record_crash(&mut self, request: Fingerprints, end: End, now: Time) {
         for (scope, request) in request.each() {
             self.news.push(RequestNews::Ended {
                 request,
@@ -149,84 +153,86 @@
                 began: now.since(end.began),
                 ended: now.since(end.ended),
             });
-            self.add_end(request, scope, end, now);
+            self.add_crash(request, scope, end, now);
         }
     }
 
-    /// Records that a request of this box was answered well.
-    pub fn served(&mut self, request: Fingerprints, now: Time) {
+    /// Records that a request of this box succeeded.
+    pub fn record_success(&mut self, request: Fingerprints, now: Time) {
         for (_, request) in request.each() {
             self.clear(request, now);
         }
     }
 
-    /// Clears a request and broadcasts that; returns whether it was suspected.
+    /// Clears a request and announces this; returns whether it was suspected.
     pub fn clear(&mut self, request: Fingerprint, now: Time) -> bool {
-        let was_suspected = self.records.get_mut(&request).is_some_and(|r| r.serve(now));
+        let was_suspected = self.records.get_mut(&request).is_some_and(|r| r.record_success(now));
         if was_suspected {
             self.news.push(RequestNews::Served { request, ago: Duration::ZERO });
         }
         was_suspected
     }
 
-    /// Records that this box rejects a request, and rebroadcasts the hold now and then.
-    pub fn refused(&mut self, request: Fingerprints, now: Time) {
+    /// Records that this box rejects a request, and announces the hold again at intervals.
+    pub fn record_rejection(&mut self, request: Fingerprints, now: Time) {
         for (_, f) in request.each() {
             let Some(r) = self.records.get_mut(&f) else { continue };
             let Some(hold) = r.hold(f, now) else { continue };
-            if now.since(r.told) >= TELL_GAP {
-                r.told = now;
+            if now.since(r.announced_at) >= ANNOUNCE_INTERVAL {
+                r.announced_at = now;
                 self.news.push(hold.news());
             }
         }
     }
 
-    /// Applies news of a peer.
+    /// Applies an announcement of a peer.
     pub fn heard(&mut self, news: RequestNews, now: Time) {
         match news {
             RequestNews::Ended { request, scope, upstream, began, ended } => {
                 let end = End { upstream, began: now.before(began), ended: now.before(ended) };
-                self.add_end(request, scope, end, now);
+                self.add_crash(request, scope, end, now);
             }
             RequestNews::Served { request, ago } => {
                 if let Some(r) = self.records.get_mut(&request) {
-                    r.serve(now.before(ago));
+                    r.record_success(now.before(ago));
                 }
             }
             RequestNews::Held { request, scope, left, trials } => {
                 let r = self.record(request, scope, now);
-                r.told = now;
-                let hold = r.hold_for(left, trials, now).then(|| r.hold(request, now)).flatten();
+                r.announced_at = now;
+                let hold = r.apply_hold(left, trials, now).then(|| r.hold(request, now)).flatten();
                 self.new_holds.extend(hold);
             }
         }
     }
 
-    /// Returns the requests that are held, or that were until a trial, those with the most
-    /// trials first; puts on hold first what is due.
+    /// Returns the holds, including expired ones that await a trial.
+    ///
+    /// Starts the holds that are due first. Requests with the most failed trials come first, and
+    /// at most [`MOST_HELD`] are returned.
     pub fn held(&mut self, now: Time) -> Vec<Hold> {
-        self.settle(now);
+        self.start_due_holds(now);
         let mut held: Vec<Hold> =
-            self.records.iter().filter_map(|(&f, r)| r.last_hold(f, now)).collect();
+            self.records.iter().filter_map(|(&f, r)| r.latest_hold(f, now)).collect();
         held.sort_by_key(|h| std::cmp::Reverse((h.trials, h.left)));
         held.truncate(MOST_HELD);
         held
     }
 
-    /// Puts on hold each request whose ends nothing else accounts for.
-    fn settle(&mut self, now: Time) {
-        let mut guilty = self.guilty_ends();
-        let may_be_due = |r: &Record| !r.is_found_guilty() && r.ends().len() >= r.ends_needed();
-        let open: Vec<Fingerprint> =
+    /// Starts a hold on each request whose crashes no other request explains.
+    fn start_due_holds(&mut self, now: Time) {
+        let mut explained = self.explained_crashes();
+        let may_be_due = |r: &Record| !r.is_cause() && r.ends().len() >= r.threshold();
+        let suspects: Vec<Fingerprint> =
             self.records.iter().filter(|(_, r)| may_be_due(r)).map(|(&f, _)| f).collect();
-        for f in open {
-            if matches!(self.judge(f, &guilty, now), Standing::Held { .. }) {
-                guilty = self.guilty_ends();
+        for f in suspects {
+            if matches!(self.evaluate(f, &explained, now), Restriction::Held { .. }) {
+                explained = self.explained_crashes();
             }
         }
     }
 
-    /// Returns how many requests are suspected or held.
+    /// Returns the number of suspected and held requests.
     #[must_use]
     pub fn len(&self) -> usize {
         self.records.len()
@@ -238,84 +244,91 @@
         self.records.is_empty()
     }
 
-    /// Drains the news to broadcast.
+    /// Drains the queued announcements.
     pub fn take_news(&mut self) -> Vec<RequestNews> {
         std::mem::take(&mut self.news)
     }
 
-    /// Drains the new holds, for the log.
+    /// Drains the holds added since the last call, for the log.
     pub fn take_holds(&mut self) -> Vec<Hold> {
         std::mem::take(&mut self.new_holds)
     }
 
-    fn add_end(&mut self, request: Fingerprint, scope: Scope, end: End, now: Time) {
+    fn add_crash(&mut self, request: Fingerprint, scope: Scope, end: End, now: Time) {
         let r = self.record(request, scope, now);
         let hold = r.add(end, now).then(|| r.hold(request, now)).flatten();
         self.new_holds.extend(hold);
     }
 
-    /// Returns how one record lets a request be treated, and puts it on hold if that is due.
-    fn judge(&mut self, f: Fingerprint, guilty: &[(Fingerprint, End)], now: Time) -> Standing {
-        let Some(r) = self.records.get(&f) else { return Standing::Clear };
-        let counted = r.counted(&explained(f, guilty));
-        let is_sure = || counted.len() > r.ends_needed() || !self.has_rival(f, &counted, guilty);
-        if r.is_due(&counted, now) && is_sure() {
-            self.hold(f, now);
+    /// Returns the restriction by one fingerprint, and starts a hold if one is due.
+    fn evaluate(
+        &mut self,
+        f: Fingerprint,
+        explained: &[(Fingerprint, End)],
+        now: Time,
+    ) -> Restriction {
+        let Some(r) = self.records.get(&f) else { return Restriction::Clear };
+        let crashes = r.crash_sequence(&explained_by_others(f, explained));
+        let is_certain = || crashes.len() > r.threshold() || !self.is_tied(f, &crashes, explained);
+        if r.is_due(&crashes, now) && is_certain() {
+            self.start_hold(f, now);
         }
-        self.records.get(&f).map_or(Standing::Clear, |r| r.standing(counted.len(), now))
+        self.records.get(&f).map_or(Restriction::Clear, |r| r.restriction(crashes.len(), now))
     }
 
-    fn hold(&mut self, f: Fingerprint, now: Time) {
+    fn start_hold(&mut self, f: Fingerprint, now: Time) {
         let Some(r) = self.records.get_mut(&f) else { return };
-        r.put_on_hold(now);
+        r.start_hold(now);
         let hold = r.hold(f, now);
         self.news.extend(hold.as_ref().map(Hold::news));
         self.new_holds.extend(hold);
     }
 
-    /// Returns the ends under the requests that are found guilty.
-    fn guilty_ends(&self) -> Vec<(Fingerprint, End)> {
-        let guilty = self.records.iter().filter(|(_, r)| r.is_found_guilty());
-        guilty.flat_map(|(&f, r)| r.ends().iter().map(move |&e| (f, e))).collect()
+    /// Returns the crashes during requests that were held as their cause.
+    fn explained_crashes(&self) -> Vec<(Fingerprint, End)> {
+        let explained = self.records.iter().filter(|(_, r)| r.is_cause());
+        explained.flat_map(|(&f, r)| r.ends().iter().map(move |&e| (f, e))).collect()
     }
 
-    /// Returns whether another request was at as many ends, the last one of them the same.
+    /// Returns whether another suspect shares the last crash and has at least as many crashes.
     ///
-    /// One of them is guilty: the other is cleared by its next answer, or the guilty one is
-    /// known by its next end. Holding both held one innocent request for each third guilty
-    /// one before nine upstreams.
-    fn has_rival(&self, f: Fingerprint, counted: &[End], guilty: &[(Fingerprint, End)]) -> bool {
-        let (Some(mine), Some(last)) = (self.records.get(&f), counted.last()) else { return false };
+    /// Only one of the two causes the crashes. Either the other one is cleared by its next
+    /// answer, or the next crash tells them apart. When both were held, one harmless request was
+    /// held for every three harmful ones with nine upstreams.
+    fn is_tied(&self, f: Fingerprint, crashes: &[End], explained: &[(Fingerprint, End)]) -> bool {
+        let (Some(own), Some(last)) = (self.records.get(&f), crashes.last()) else { return false };
         self.records.iter().any(|(&g, r)| {
             g != f
-                && mine.is_of_one_scope(r)
-                && !r.is_found_guilty()
+                && own.has_same_scope(r)
+                && !r.is_cause()
                 && r.ends().iter().any(|e| e.is_same(last))
-                && r.counted(&explained(g, guilty)).len() >= counted.len()
+                && r.crash_sequence(&explained_by_others(g, explained)).len() >= crashes.len()
         })
     }
 
     fn record(&mut self, request: Fingerprint, scope: Scope, now: Time) -> &mut Record {
         if !self.records.contains_key(&request) {
-            self.records.retain(|_, r| !r.is_old(now));
-            self.make_room(now);
+            self.records.retain(|_, r| !r.is_expired(now));
+            self.evict(now);
         }
         self.records.entry(request).or_insert_with(|| Record::new(scope, now))
     }
 
-    /// Drops what says least while there is no room: what is not held, with the fewest ends,
-    /// the oldest first.
-    fn make_room(&mut self, now: Time) {
+    /// Evicts records while the table is full.
+    ///
+    /// Requests that are not held, have the fewest crashes and are the oldest go first.
+    fn evict(&mut self, now: Time) {
         while self.records.len() >= MOST_RECORDS {
-            let least = self.records.iter().min_by_key(|(_, r)| r.weight(now)).map(|(&f, _)| f);
-            let Some(f) = least else { return };
+            let victim =
+                self.records.iter().min_by_key(|(_, r)| r.retention_rank(now)).map(|(&f, _)| f);
+            let Some(f) = victim else { return };
             self.records.remove(&f);
         }
     }
 }
 
 impl Hold {
-    /// Returns it as news for other boxes.
+    /// Returns an announcement of this hold.
     #[must_use]
     pub const fn news(&self) -> RequestNews {
         let Self { request, scope, left, trials, .. } = *self;
@@ -323,9 +336,9 @@
     }
 }
 
-/// Returns the ends that requests found guilty account for, other than this one.
+/// Returns the crashes that are explained by held requests other than `f`.
 ///
-/// What ran beside a request that is found guilty is innocent of the ends that were its.
-fn explained(f: Fingerprint, guilty: &[(Fingerprint, End)]) -> Vec<End> {
-    guilty.iter().filter(|(g, _)| *g != f).map(|&(_, e)| e).collect()
+/// A request that merely ran concurrently with a held one did not cause these crashes.
+fn explained_by_others(f: Fingerprint, explained: &[(Fingerprint, End)]) -> Vec<End> {
+    explained.iter().filter(|(g, _)| *g != f).map(|&(_, e)| e).collect()
 }
--- a/crates/honeypulley_policy/src/quarantine/fingerprint.rs
+++ b/crates/honeypulley_policy/src/quarantine/fingerprint.rs
@@ -1,8 +1,8 @@
-//! What makes two requests the same one.
+//! Identifies repeats of the same request.
 
 use std::fmt;
 
-/// A keyed digest of what stays when a request comes again.
+/// Keyed digest of the parts of a request that repeats share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Fingerprint(pub u64);
 
@@ -15,18 +15,18 @@
 /// What a fingerprint covers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Scope {
-    /// The content and the caller's address: the caller's own request.
+    /// The content and the caller's address: requests repeated by one caller.
     Caller,
-    /// The content alone: the same question, whoever asks it.
+    /// The content alone: equal requests of any callers.
     Content,
 }
 
 /// Both fingerprints of one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fingerprints {
-    /// With the caller.
+    /// Fingerprint that covers the content and the caller.
     pub caller: Fingerprint,
-    /// Without the caller.
+    /// Fingerprint that covers the content alone.
     pub content: Fingerprint,
 }
 
--- a/crates/honeypulley_policy/src/quarantine/record.rs
+++ b/crates/honeypulley_policy/src/quarantine/record.rs
@@ -1,206 +1,220 @@
-//! What is known of one suspected request.
+//! Evidence about one suspected request.
 
-use super::{End, Fingerprint, Hold, Scope, Standing};
+use super::{End, Fingerprint, Hold, Restriction, Scope};
 use crate::time::Time;
 use std::time::Duration;
 
-/// Ends one after the other under a caller's own request from which on it is held.
+/// Consecutive crashes after which a request of one caller is held.
 ///
-/// One end leaves some twenty suspects, which were open on the same upstream. Each innocent
-/// one is sent again, and is beside the guilty one again in one of eight cases where nine
-/// upstreams serve: two in a row would hold one or two innocent ones for each guilty one.
-const CALLER_ENDS: usize = 3;
-/// The same under a request of any caller.
+/// A crash yields about twenty suspects, which were in flight on the same upstream. With nine
+/// upstreams, the retry of a harmless suspect meets the harmful request again in one of eight
+/// cases. A threshold of two would therefore hold one or two harmless requests for each harmful
+/// one.
+const CALLER_CRASHES: usize = 3;
+/// Consecutive crashes after which a request is held for all callers.
 ///
-/// One more: a caller may know a rare path of another's and end upstreams by a head that the
-/// fingerprint does not cover. The other's request, which is held as well then, is cleared
-/// by its first good answer after the hold.
-const CONTENT_ENDS: usize = 4;
-/// Time within which all boxes have announced what was in flight at a crash.
+/// The threshold is higher than [`CALLER_CRASHES`], because a caller might use another caller's
+/// rare path and crash upstreams with headers that the fingerprint does not cover. The other
+/// caller's request is then held as well, until its first success after the hold.
+const CONTENT_CRASHES: usize = 4;
+/// Time within which all boxes have announced their requests in flight at a crash.
 ///
-/// Before, a request may look like the only one that was at so many ends.
+/// Earlier than that, a request may wrongly appear to be the only one with that many crashes.
 const SETTLE_TIME: Duration = Duration::from_millis(50);
-/// Time by which boxes may disagree on what came first: news on its way, rounded spans.
+/// Tolerance for the order of events seen by different boxes.
+///
+/// Announcements are delayed on the network, and the durations in them are rounded.
 const ORDER_SLACK: Duration = Duration::from_millis(20);
-/// Time within which two ends of one upstream are the same one, seen by two boxes.
+/// Time within which two reported crashes of an upstream count as the same one.
 ///
-/// An upstream that is back takes longer than that to start.
-const SAME_END: Duration = Duration::from_millis(500);
-/// Ends of one request that are remembered.
-const MOST_ENDS: usize = 8;
-/// Time for which a request is held first; it doubles with each trial that fails.
+/// An upstream takes longer than that to restart.
+const SAME_CRASH_TIME: Duration = Duration::from_millis(500);
+/// Maximum number of crashes stored for one request.
+const MAX_CRASHES: usize = 8;
+/// Duration of the first hold, which doubles with each failed trial.
 ///
-/// Long beside the seconds in which a caller repeats, short beside the mending of a service.
+/// Long compared with the seconds between a caller's repeats, and short compared with the time
+/// that it takes to fix a service.
 const HOLD_TIME: Duration = Duration::from_secs(600);
-/// Trials after which no more are made.
+/// Failed trials after which [`LAST_HOLD`] applies.
 ///
-/// Each that fails ends one more upstream, with all that runs there.
-const MOST_TRIALS: u8 = 3;
-/// Time for which it is held after the last trial.
+/// Each failed trial crashes one more upstream and fails all requests that run there.
+const MAX_TRIALS: u8 = 3;
+/// Duration of the hold after the last trial.
 const LAST_HOLD: Duration = Duration::from_secs(24 * 3_600);
-/// Time after which a request that was never held is forgotten.
-const FORGET_TIME: Duration = Duration::from_secs(600);
-/// The same after a hold has lapsed, so that one that seldom comes is not held anew from none.
-const FORGET_HELD_TIME: Duration = LAST_HOLD;
+/// Time after which the record of a request that was never held expires.
+const RETENTION: Duration = Duration::from_secs(600);
+/// Time after the end of a hold at which the record expires.
+///
+/// It is longer than [`RETENTION`], so that a request that is seldom repeated does not start
+/// over with a clean record.
+const HELD_RETENTION: Duration = LAST_HOLD;
 
-/// What is known of one request.
+/// Crashes, successes and the hold of one request.
 #[derive(Clone, Debug)]
 pub(super) struct Record {
     scope: Scope,
     ends: Vec<End>,
-    /// When it was last answered well.
-    served: Option<Time>,
-    held: Option<Held>,
-    /// When a box last broadcast that it is held.
-    pub(super) told: Time,
-    /// When something was last learnt of it.
-    touched: Time,
+    /// Time of the last success.
+    last_success: Option<Time>,
+    hold: Option<HoldState>,
+    /// Time of the last announcement of the hold by any box.
+    pub(super) announced_at: Time,
+    /// Time of the last change of the evidence.
+    updated_at: Time,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Held {
+struct HoldState {
     until: Time,
     trials: u8,
 }
 
 impl End {
-    /// Returns whether both are one end of one upstream, seen by two boxes.
+    /// Returns whether two boxes reported the same crash.
     pub(super) fn is_same(&self, other: &Self) -> bool {
-        self.upstream == other.upstream && apart(self.ended, other.ended) < SAME_END
+        self.upstream == other.upstream && distance(self.ended, other.ended) < SAME_CRASH_TIME
     }
 }
 
 impl Record {
     pub(super) const fn new(scope: Scope, now: Time) -> Self {
-        Self { scope, ends: Vec::new(), served: None, held: None, told: now, touched: now }
+        Self {
+            scope,
+            ends: Vec::new(),
+            last_success: None,
+            hold: None,
+            announced_at: now,
+            updated_at: now,
+        }
     }
 
-    /// Records a crash; returns whether it fails a trial, which renews the hold.
+    /// Records a crash; returns whether it is a failed trial, which renews the hold.
     pub(super) fn add(&mut self, end: End, now: Time) -> bool {
-        let is_cleared = self.served.is_some_and(|at| end.ended <= at);
+        let is_cleared = self.last_success.is_some_and(|at| end.ended <= at);
         if is_cleared || self.ends.iter().any(|e| e.is_same(&end)) {
             return false;
         }
-        self.touched = now;
+        self.updated_at = now;
         self.ends.push(end);
         self.ends.sort_by_key(|e| e.ended);
-        if self.ends.len() > MOST_ENDS {
+        if self.ends.len() > MAX_CRASHES {
             self.ends.remove(0);
         }
-        // One that was sent before the hold was known everywhere is no trial.
-        let Some(h) = self.held.filter(|h| end.began >= h.until) else { return false };
+        // A request sent before the hold was known on all boxes is not a trial.
+        let Some(h) = self.hold.filter(|h| end.began >= h.until) else { return false };
         let trials = h.trials.saturating_add(1);
-        self.held = Some(Held { until: now + hold_time(trials), trials });
+        self.hold = Some(HoldState { until: now + hold_duration(trials), trials });
         true
     }
 
-    /// Records that it was answered well; returns whether it was suspected until then.
-    pub(super) fn serve(&mut self, at: Time) -> bool {
-        self.served = self.served.max(Some(at));
+    /// Records a success; returns whether the request was suspected until then.
+    pub(super) fn record_success(&mut self, at: Time) -> bool {
+        self.last_success = self.last_success.max(Some(at));
         let before = self.ends.len();
         self.ends.retain(|e| e.ended > at);
-        let was_held = self.held.take().is_some();
+        let was_held = self.hold.take().is_some();
         was_held || self.ends.len() < before
     }
 
-    /// Records a hold; returns whether it lasts longer than the one known.
-    pub(super) fn hold_for(&mut self, left: Duration, trials: u8, now: Time) -> bool {
-        let is_new = self.held.is_none_or(|h| trials > h.trials);
-        if is_new {
-            self.touched = now;
-            self.held = Some(Held { until: now + left, trials });
+    /// Applies a hold; returns whether it supersedes the known one.
+    pub(super) fn apply_hold(&mut self, left: Duration, trials: u8, now: Time) -> bool {
+        let supersedes = self.hold.is_none_or(|h| trials > h.trials);
+        if supersedes {
+            self.updated_at = now;
+            self.hold = Some(HoldState { until: now + left, trials });
         }
-        is_new
+        supersedes
     }
 
-    pub(super) fn put_on_hold(&mut self, now: Time) {
-        self.hold_for(hold_time(0), 0, now);
+    pub(super) fn start_hold(&mut self, now: Time) {
+        self.apply_hold(hold_duration(0), 0, now);
     }
 
-    /// Returns how it may be treated, with so many ends counted against it.
-    pub(super) fn standing(&self, counted: usize, now: Time) -> Standing {
-        if let Some(h) = self.held {
+    /// Returns the restriction that follows from a number of consecutive crashes.
+    pub(super) fn restriction(&self, crashes: usize, now: Time) -> Restriction {
+        if let Some(h) = self.hold {
             let left = h.until.since(now);
-            return if left.is_zero() { Standing::Single } else { Standing::Held { left } };
+            return if left.is_zero() { Restriction::NoRetry } else { Restriction::Held { left } };
         }
-        match counted {
-            0 => Standing::Clear,
-            n if n + 1 >= self.ends_needed() => Standing::Single,
-            _ => Standing::Watched,
+        match crashes {
+            0 => Restriction::Clear,
+            n if n + 1 >= self.threshold() => Restriction::NoRetry,
+            _ => Restriction::NoHedge,
         }
     }
 
-    /// Returns the hold that is in force.
+    /// Returns the hold in force.
     pub(super) fn hold(&self, request: Fingerprint, now: Time) -> Option<Hold> {
-        self.last_hold(request, now).filter(|h| !h.left.is_zero())
+        self.latest_hold(request, now).filter(|h| !h.left.is_zero())
     }
 
-    /// Returns the hold in force, or the last one if it has lapsed.
-    pub(super) fn last_hold(&self, request: Fingerprint, now: Time) -> Option<Hold> {
-        let h = self.held?;
+    /// Returns the hold in force, or the last one if it has expired.
+    pub(super) fn latest_hold(&self, request: Fingerprint, now: Time) -> Option<Hold> {
+        let h = self.hold?;
         let left = h.until.since(now);
         Some(Hold { request, scope: self.scope, ends: self.ends.len(), left, trials: h.trials })
     }
 
-    pub(super) const fn is_found_guilty(&self) -> bool {
-        self.held.is_some()
+    pub(super) const fn is_cause(&self) -> bool {
+        self.hold.is_some()
     }
 
     pub(super) fn ends(&self) -> &[End] {
         &self.ends
     }
 
-    pub(super) fn is_of_one_scope(&self, other: &Self) -> bool {
+    pub(super) fn has_same_scope(&self, other: &Self) -> bool {
         self.scope == other.scope
     }
 
-    /// Returns whether it says nothing any more.
-    pub(super) fn is_old(&self, now: Time) -> bool {
-        match self.held {
-            Some(h) => now.since(h.until) > FORGET_HELD_TIME,
-            None => now.since(self.touched) > FORGET_TIME,
+    /// Returns whether the record can be dropped.
+    pub(super) fn is_expired(&self, now: Time) -> bool {
+        match self.hold {
+            Some(h) => now.since(h.until) > HELD_RETENTION,
+            None => now.since(self.updated_at) > RETENTION,
         }
     }
 
-    /// Returns what is kept first when there is no room for all.
-    pub(super) fn weight(&self, now: Time) -> (bool, usize, Time) {
-        (self.hold(Fingerprint(0), now).is_some(), self.counted(&[]).len(), self.touched)
+    /// Returns the sort key for eviction, where the smallest one is evicted first.
+    pub(super) fn retention_rank(&self, now: Time) -> (bool, usize, Time) {
+        (self.hold(Fingerprint(0), now).is_some(), self.crash_sequence(&[]).len(), self.updated_at)
     }
 
-    /// Returns how many ends in a row hold it.
-    pub(super) const fn ends_needed(&self) -> usize {
+    /// Returns the number of consecutive crashes after which the request is held.
+    pub(super) const fn threshold(&self) -> usize {
         match self.scope {
-            Scope::Caller => CALLER_ENDS,
-            Scope::Content => CONTENT_ENDS,
+            Scope::Caller => CALLER_CRASHES,
+            Scope::Content => CONTENT_CRASHES,
         }
     }
 
-    /// Returns whether these crashes are enough, and old enough that all boxes announced them.
-    pub(super) fn is_due(&self, counted: &[End], now: Time) -> bool {
-        let is_settled = counted.last().is_some_and(|e| now.since(e.ended) >= SETTLE_TIME);
-        self.held.is_none() && counted.len() >= self.ends_needed() && is_settled
+    /// Returns whether the crashes justify a hold and all boxes have announced them.
+    pub(super) fn is_due(&self, crashes: &[End], now: Time) -> bool {
+        let is_settled = crashes.last().is_some_and(|e| now.since(e.ended) >= SETTLE_TIME);
+        self.hold.is_none() && crashes.len() >= self.threshold() && is_settled
     }
 
-    /// Returns the ends that count against it: those that nothing else explains, and that
-    /// came one after the other.
+    /// Returns the unexplained crashes that followed one after the other.
     ///
-    /// A loss of many upstreams at once ends all that have the request, and says of it no more
-    /// than one end does: the next one counts only if the request was sent there afterwards.
-    pub(super) fn counted(&self, explained: &[End]) -> Vec<End> {
-        let mut counted: Vec<End> = Vec::new();
+    /// If many upstreams are lost at once, this is no stronger evidence against a request than a
+    /// single crash. A crash therefore counts only if the request was sent to that upstream after
+    /// the crash before it.
+    pub(super) fn crash_sequence(&self, explained: &[End]) -> Vec<End> {
+        let mut crashes: Vec<End> = Vec::new();
         for e in self.ends.iter().filter(|e| !explained.iter().any(|x| x.is_same(e))) {
-            if counted.last().is_none_or(|l| e.began + ORDER_SLACK >= l.ended) {
-                counted.push(*e);
+            if crashes.last().is_none_or(|l| e.began + ORDER_SLACK >= l.ended) {
+                crashes.push(*e);
             }
         }
-        counted
+        crashes
     }
 }
 
-fn apart(a: Time, b: Time) -> Duration {
+fn distance(a: Time, b: Time) -> Duration {
     a.max(b) - a.min(b)
 }
 
-fn hold_time(trials: u8) -> Duration {
-    if trials >= MOST_TRIALS { LAST_HOLD } else { HOLD_TIME * (1 << trials) }
+fn hold_duration(trials: u8) -> Duration {
+    if trials >= MAX_TRIALS { LAST_HOLD } else { HOLD_TIME * (1 << trials) }
 }
--- a/crates/honeypulley_policy/tests/quarantine/fleet.rs
+++ b/crates/honeypulley_policy/tests/quarantine/fleet.rs
@@ -1,85 +1,85 @@
-//! A request that ends its upstreams, before whole fleets in simulated time.
+//! Simulates whole fleets that receive a request which crashes its upstreams.
 //!
-//! Each upstream runs some twenty requests of many boxes, all of which end with it and are
-//! suspected. Callers of what failed come again a few times; the caller of the bad request
-//! does so without end, on any box. News between boxes is lost now and then.
+//! Each upstream runs about twenty requests of many boxes, which all fail in a crash and become
+//! suspects. Callers of failed requests retry a few times. The caller of the bad request retries
+//! forever, on any box. Some announcements between boxes are lost.
 
 use honeypulley_policy::collector::NameId;
-use honeypulley_policy::quarantine::{End, Fingerprint, Fingerprints, Quarantine, Standing};
+use honeypulley_policy::quarantine::{End, Fingerprint, Fingerprints, Quarantine, Restriction};
 use honeypulley_policy::time::Time;
 use rstest::rstest;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
 const STEP: Duration = Duration::from_millis(5);
-/// Time that news takes to the other boxes, in steps.
-const NEWS_STEPS: u64 = 1;
-/// Longest work of a request in steps; it is drawn below that.
-const WORK: u64 = 80;
-/// Steps from the begin of the bad request to the end of its upstream.
-const FUSE: u64 = 16;
-/// Steps for which an upstream that ended is away.
-const AWAY: u64 = 500;
-/// Steps after which a caller comes again.
-const AGAIN: u64 = 140;
-/// Times that the caller of a request that failed comes again.
-const REPEATS: u8 = 3;
-/// Boxes' sends of one try.
-const SENDS: u8 = 2;
-/// The bad request's number; all others have one of their own.
+/// Delay of announcements to the other boxes, in steps.
+const ANNOUNCE_STEPS: u64 = 1;
+/// Upper bound of the random duration of a request, in steps.
+const MAX_WORK: u64 = 80;
+/// Steps from the start of the bad request to the crash of its upstream.
+const CRASH_STEPS: u64 = 16;
+/// Steps that an upstream takes to restart after a crash.
+const RESTART_STEPS: u64 = 500;
+/// Steps after which a caller retries.
+const RETRY_STEPS: u64 = 140;
+/// Retries of a caller whose request failed.
+const CALLER_RETRIES: u8 = 3;
+/// Attempts that a box makes for one request of a caller.
+const MAX_ATTEMPTS: u8 = 2;
+/// Number of the bad request; every other request has its own number.
 const BAD: u64 = 0;
 
-/// What a day has.
+/// Parameters of one simulated run.
 #[derive(Clone, Copy)]
-struct Day {
+struct Params {
     boxes: usize,
     upstreams: usize,
-    /// Requests that come in one step.
-    per_step: usize,
-    /// Share of news that a box does not hear.
-    loss: f64,
+    /// Requests that arrive in each step.
+    arrivals: usize,
+    /// Share of announcements that each box loses.
+    loss_rate: f64,
     has_bad: bool,
-    /// Upstreams that end by themselves, one after the other.
+    /// Crashes that are unrelated to requests, spread evenly over the run.
     crashes: u64,
 }
 
-/// A request at work.
+/// A request in flight.
 #[derive(Clone, Copy)]
-struct Open {
+struct InFlight {
     number: u64,
     at_box: usize,
     upstream: usize,
     began: u64,
     done: u64,
-    sends: u8,
-    repeats: u8,
+    attempts: u8,
+    retries_left: u8,
 }
 
-/// A caller that comes at a step.
+/// An arrival of a request at a given step.
 #[derive(Clone, Copy)]
-struct Call {
+struct Arrival {
     number: u64,
     step: u64,
-    repeats: u8,
+    retries_left: u8,
 }
 
 struct Fleet {
-    day: Day,
+    params: Params,
     rng: fastrand::Rng,
     boxes: Vec<Quarantine>,
-    up_at: Vec<u64>,
-    open: Vec<Open>,
-    calls: Vec<Call>,
-    ends: usize,
+    back_at: Vec<u64>,
+    in_flight: Vec<InFlight>,
+    arrivals_due: Vec<Arrival>,
+    crashes_caused: usize,
     held: BTreeSet<u64>,
-    numbers: u64,
+    last_number: u64,
 }
 
-/// What a day showed.
-struct Shown {
-    /// Upstreams that ended under the bad request.
-    ends: usize,
-    /// Requests that were refused though they end nothing.
+/// Result of one simulated run.
+struct RunResult {
+    /// Crashes caused by the bad request.
+    crashes_caused: usize,
+    /// Harmless requests that were rejected.
     innocent: usize,
 }
 
@@ -92,124 +92,129 @@
 }
 
 impl Fleet {
-    fn play(day: Day, seed: u64) -> Shown {
+    fn run(params: Params, seed: u64) -> RunResult {
         let mut f = Self {
-            day,
+            params,
             rng: fastrand::Rng::with_seed(seed),
-            boxes: (0..day.boxes).map(|_| Quarantine::default()).collect(),
-            up_at: vec![0; day.upstreams],
-            open: Vec::new(),
-            calls: Vec::new(),
-            ends: 0,
+            boxes: (0..params.boxes).map(|_| Quarantine::default()).collect(),
+            back_at: vec![0; params.upstreams],
+            in_flight: Vec::new(),
+            arrivals_due: Vec::new(),
+            crashes_caused: 0,
             held: BTreeSet::new(),
-            numbers: BAD,
+            last_number: BAD,
         };
-        if day.has_bad {
-            f.calls.push(Call { number: BAD, step: 200, repeats: 0 });
+        if params.has_bad {
+            f.arrivals_due.push(Arrival { number: BAD, step: 200, retries_left: 0 });
         }
         let steps = 6_000;
         for step in 0..steps {
-            for _ in 0..day.per_step {
-                f.numbers += 1;
-                f.calls.push(Call { number: f.numbers, step, repeats: REPEATS });
+            for _ in 0..params.arrivals {
+                f.last_number += 1;
+                f.arrivals_due.push(Arrival {
+                    number: f.last_number,
+                    step,
+                    retries_left: CALLER_RETRIES,
+                });
             }
             f.step(step);
-            if day.crashes > 0 && step % (steps / day.crashes) == 100 {
-                let upstream = f.rng.usize(..day.upstreams);
-                f.end(upstream, step);
+            if params.crashes > 0 && step % (steps / params.crashes) == 100 {
+                let upstream = f.rng.usize(..params.upstreams);
+                f.crash(upstream, step);
             }
         }
         let innocent = f.held.iter().filter(|&&n| n != BAD).count();
-        Shown { ends: f.ends, innocent }
+        RunResult { crashes_caused: f.crashes_caused, innocent }
     }
 
     fn step(&mut self, step: u64) {
         let (due, later) =
-            std::mem::take(&mut self.calls).into_iter().partition(|c| c.step <= step);
-        self.calls = later;
-        let due: Vec<Call> = due;
+            std::mem::take(&mut self.arrivals_due).into_iter().partition(|c| c.step <= step);
+        self.arrivals_due = later;
+        let due: Vec<Arrival> = due;
         due.into_iter().for_each(|c| self.arrive(c, step));
-        let fused = |o: &&Open| o.number == BAD && step >= o.began + FUSE;
-        while let Some(upstream) = self.open.iter().find(fused).map(|o| o.upstream) {
-            self.ends += 1;
-            self.end(upstream, step);
+        let is_crashing = |o: &&InFlight| o.number == BAD && step >= o.began + CRASH_STEPS;
+        while let Some(upstream) = self.in_flight.iter().find(is_crashing).map(|o| o.upstream) {
+            self.crashes_caused += 1;
+            self.crash(upstream, step);
         }
-        let (done, open): (Vec<Open>, Vec<Open>) =
-            self.open.iter().partition(|o| o.number != BAD && step >= o.done);
-        self.open = open;
+        let (done, in_flight): (Vec<InFlight>, Vec<InFlight>) =
+            self.in_flight.iter().partition(|o| o.number != BAD && step >= o.done);
+        self.in_flight = in_flight;
         for o in done {
-            self.boxes[o.at_box].served(request(o.number), time(step));
-            self.spread(o.at_box, step);
+            self.boxes[o.at_box].record_success(request(o.number), time(step));
+            self.broadcast(o.at_box, step);
         }
     }
 
-    fn arrive(&mut self, c: Call, step: u64) {
+    fn arrive(&mut self, c: Arrival, step: u64) {
         let at_box = self.rng.usize(..self.boxes.len());
-        let standing = self.boxes[at_box].standing(request(c.number), time(step));
-        self.spread(at_box, step);
-        if matches!(standing, Standing::Held { .. }) {
+        let restriction = self.boxes[at_box].restriction(request(c.number), time(step));
+        self.broadcast(at_box, step);
+        if matches!(restriction, Restriction::Held { .. }) {
             self.held.insert(c.number);
-            self.boxes[at_box].refused(request(c.number), time(step));
-            self.spread(at_box, step);
-            self.come_again(c.number, c.repeats, step);
+            self.boxes[at_box].record_rejection(request(c.number), time(step));
+            self.broadcast(at_box, step);
+            self.retry_later(c.number, c.retries_left, step);
             return;
         }
-        self.send(Open {
+        self.send(InFlight {
             number: c.number,
             at_box,
             upstream: 0,
             began: step,
             done: 0,
-            sends: 0,
-            repeats: c.repeats,
+            attempts: 0,
+            retries_left: c.retries_left,
         });
     }
 
-    /// Sends to one of the upstreams that run; boxes know which by then.
-    fn send(&mut self, o: Open) {
-        let up: Vec<usize> = (0..self.up_at.len()).filter(|&u| self.up_at[u] <= o.began).collect();
-        if up.is_empty() {
-            self.come_again(o.number, o.repeats, o.began);
+    /// Sends a request to a random running upstream.
+    fn send(&mut self, o: InFlight) {
+        let running: Vec<usize> =
+            (0..self.back_at.len()).filter(|&u| self.back_at[u] <= o.began).collect();
+        if running.is_empty() {
+            self.retry_later(o.number, o.retries_left, o.began);
             return;
         }
-        let upstream = up[self.rng.usize(..up.len())];
-        let done = o.began + self.rng.u64(10..WORK);
-        self.open.push(Open { upstream, done, sends: o.sends + 1, ..o });
+        let upstream = running[self.rng.usize(..running.len())];
+        let done = o.began + self.rng.u64(10..MAX_WORK);
+        self.in_flight.push(InFlight { upstream, done, attempts: o.attempts + 1, ..o });
     }
 
-    fn come_again(&mut self, number: u64, repeats: u8, step: u64) {
-        if number == BAD || repeats > 0 {
-            let repeats = repeats.saturating_sub(1);
-            self.calls.push(Call { number, step: step + AGAIN, repeats });
+    fn retry_later(&mut self, number: u64, retries_left: u8, step: u64) {
+        if number == BAD || retries_left > 0 {
+            let retries_left = retries_left.saturating_sub(1);
+            self.arrivals_due.push(Arrival { number, step: step + RETRY_STEPS, retries_left });
         }
     }
 
-    fn end(&mut self, upstream: usize, step: u64) {
-        self.up_at[upstream] = step + AWAY;
-        let (lost, open): (Vec<Open>, Vec<Open>) =
-            self.open.iter().partition(|o| o.upstream == upstream);
-        self.open = open;
+    fn crash(&mut self, upstream: usize, step: u64) {
+        self.back_at[upstream] = step + RESTART_STEPS;
+        let (lost, in_flight): (Vec<InFlight>, Vec<InFlight>) =
+            self.in_flight.iter().partition(|o| o.upstream == upstream);
+        self.in_flight = in_flight;
         for o in lost {
             let end =
                 End { upstream: NameId(upstream as u64), began: time(o.began), ended: time(step) };
             let now = time(step);
-            self.boxes[o.at_box].ended(request(o.number), end, now);
-            let standing = self.boxes[o.at_box].standing(request(o.number), now);
-            if standing < Standing::Single && o.sends < SENDS {
-                self.send(Open { began: step, ..o });
+            self.boxes[o.at_box].record_crash(request(o.number), end, now);
+            let restriction = self.boxes[o.at_box].restriction(request(o.number), now);
+            if restriction < Restriction::NoRetry && o.attempts < MAX_ATTEMPTS {
+                self.send(InFlight { began: step, ..o });
             } else {
-                self.come_again(o.number, o.repeats, step);
+                self.retry_later(o.number, o.retries_left, step);
             }
-            self.spread(o.at_box, step);
+            self.broadcast(o.at_box, step);
         }
     }
 
-    /// Hands on what a box has to tell.
-    fn spread(&mut self, from: usize, step: u64) {
-        let now = time(step + NEWS_STEPS);
+    /// Delivers the announcements of a box to the others.
+    fn broadcast(&mut self, from: usize, step: u64) {
+        let now = time(step + ANNOUNCE_STEPS);
         for news in self.boxes[from].take_news() {
             for (i, b) in self.boxes.iter_mut().enumerate() {
-                if i != from && self.rng.f64() >= self.day.loss {
+                if i != from && self.rng.f64() >= self.params.loss_rate {
                     b.heard(news, now);
                 }
             }
@@ -217,39 +222,43 @@
     }
 }
 
-/// Nine upstreams with some twenty requests each, on the boxes of a small site.
-const SMALL: Day =
-    Day { boxes: 36, upstreams: 9, per_step: 4, loss: 0.0, has_bad: true, crashes: 0 };
-/// A fleet of hundreds of boxes, of which one service is looked at.
-const LARGE: Day = Day { boxes: 293, upstreams: 40, ..SMALL };
+/// A small site: nine upstreams with about twenty requests each.
+const SMALL: Params =
+    Params { boxes: 36, upstreams: 9, arrivals: 4, loss_rate: 0.0, has_bad: true, crashes: 0 };
+/// One service of a fleet with hundreds of boxes.
+const LARGE: Params = Params { boxes: 293, upstreams: 40, ..SMALL };
 const SEEDS: u64 = 10;
 
 #[rstest]
 #[case::small(SMALL, 4)]
 #[case::large(LARGE, 4)]
-#[case::datagrams_lost(Day { loss: 0.1, ..SMALL }, 5)]
-#[case::a_third_lost(Day { loss: 0.3, ..SMALL }, 6)]
-fn the_bad_request_ends_few_upstreams_and_hardly_another_is_held(
-    #[case] day: Day,
+#[case::datagrams_lost(Params { loss_rate: 0.1, ..SMALL }, 5)]
+#[case::a_third_lost(Params { loss_rate: 0.3, ..SMALL }, 6)]
+fn the_bad_request_crashes_few_upstreams_and_no_other_is_held(
+    #[case] params: Params,
     #[case] most: usize,
 ) {
     let mut innocent = 0;
     for seed in 0..SEEDS {
-        let shown = Fleet::play(day, seed);
-        assert!(shown.ends <= most, "seed {seed}: {} upstreams ended", shown.ends);
-        innocent += shown.innocent;
+        let result = Fleet::run(params, seed);
+        assert!(
+            result.crashes_caused <= most,
+            "seed {seed}: {} upstreams crashed",
+            result.crashes_caused
+        );
+        innocent += result.innocent;
     }
-    // Some 60 requests run beside the bad one on each day.
-    assert_eq!(innocent, 0, "others were held on {SEEDS} days");
+    // About 60 requests run concurrently with the bad one in each run.
+    assert_eq!(innocent, 0, "harmless requests were held in {SEEDS} runs");
 }
 
 #[rstest]
 #[case::calm(0)]
 #[case::crashes(12)]
 #[case::many_crashes(60)]
-fn without_a_bad_request_none_is_held(#[case] crashes: u64) {
+fn no_request_is_held_without_a_bad_one(#[case] crashes: u64) {
     for seed in 0..SEEDS {
-        let shown = Fleet::play(Day { has_bad: false, crashes, ..SMALL }, seed);
-        assert_eq!(shown.innocent, 0, "seed {seed}");
+        let result = Fleet::run(Params { has_bad: false, crashes, ..SMALL }, seed);
+        assert_eq!(result.innocent, 0, "seed {seed}");
     }
 }
--- a/crates/honeypulley_proxy/src/answer.rs
+++ b/crates/honeypulley_proxy/src/answer.rs
@@ -1,4 +1,4 @@
-//! Answers of our own: refusals and failures, given at once.
+//! Answers produced by the proxy itself, such as rejections and failures.
 
 use crate::dialect::Dialect;
 use crate::headers;
@@ -8,30 +8,30 @@
 use salvo::prelude::Response;
 use std::time::Duration;
 
-/// Whether a request that we answer ourselves may have been run.
+/// Whether a request answered by the proxy itself may have been run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ran {
-    /// It was proven not to have been run.
+    /// The request was certainly not run.
     NotRun,
-    /// Some of it left for an upstream and nothing is proven.
+    /// Data was sent to an upstream, and it is unknown whether the request was run.
     Unknown,
 }
 
-/// An answer that we give instead of an upstream.
+/// An answer that the proxy gives instead of an upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OwnAnswer {
     /// Status.
     pub status: StatusCode,
     /// Whether the request may have been run.
     pub ran: Ran,
-    /// `Retry-After`, if that makes sense.
+    /// Value of `Retry-After`, if a retry makes sense.
     pub retry_after: Option<Duration>,
-    /// One sentence for a person.
+    /// Reason, as a sentence for humans.
     pub why: String,
 }
 
 impl OwnAnswer {
-    /// Builds the answer to a request that was refused before anything was sent.
+    /// Creates the answer to a request that was rejected before anything was sent.
     #[must_use]
     pub fn refusal(r: Refusal) -> Self {
         let status = match r.kind {
@@ -45,19 +45,19 @@
         Self::not_run(status, Some(r.retry_after), r.kind.to_string())
     }
 
-    /// Builds the answer to a request that was not run.
+    /// Creates the answer to a request that was not run.
     #[must_use]
     pub const fn not_run(status: StatusCode, retry_after: Option<Duration>, why: String) -> Self {
         Self { status, ran: Ran::NotRun, retry_after, why }
     }
 
-    /// Builds the answer to a request of which nothing is proven.
+    /// Creates the answer to a request that may have been run.
     #[must_use]
     pub const fn unknown(status: StatusCode, retry_after: Duration, why: String) -> Self {
         Self { status, ran: Ran::Unknown, retry_after: Some(retry_after), why }
     }
 
-    /// Writes the answer out.
+    /// Writes the answer to a response.
     pub fn write(&self, dialect: &Dialect, res: &mut Response) {
         res.status_code(self.status);
         let outcome = match self.ran {
--- a/crates/honeypulley_proxy/src/attempt.rs
+++ b/crates/honeypulley_proxy/src/attempt.rs
@@ -1,8 +1,8 @@
-//! One exchange with one upstream.
+//! A single exchange with an upstream.
 
 use crate::dialect::Dialect;
 use crate::gate::Gate;
-use crate::liveness::has_ended;
+use crate::liveness::refuses_connections;
 use crate::signals::{self, ReceivedHead};
 use bytes::{Bytes, BytesMut};
 use honeypulley_policy::collector::NameId;
@@ -13,51 +13,51 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Longest answer that is taken whole before any of it is passed on, in bytes.
+/// Longest answer that is buffered before it is forwarded, in bytes.
 ///
-/// Above the longest download of the deployments' sheets, 540,000 bytes.
-const MAX_COLLECTED: usize = 1_024 * 1_024;
+/// The longest download specified by the deployments has 540,000 bytes.
+const MAX_BUFFERED_ANSWER: usize = 1_024 * 1_024;
 
-/// What is sent, the same for each attempt.
+/// Request to be sent, which is the same for all attempts.
 #[derive(Clone, Debug)]
 pub struct Outgoing {
     /// Method.
     pub method: Method,
     /// Path with query.
     pub path: String,
-    /// Headers without hop-by-hop ones.
+    /// End-to-end headers.
     pub headers: HeaderMap,
-    /// Whether the caller asks to upgrade the connection.
+    /// Whether the caller requests a connection upgrade.
     pub upgrade: bool,
-    /// Whether a short answer is taken whole before any of it is passed on.
+    /// Whether short answers are buffered before they are forwarded.
     pub collect: bool,
-    /// What it has in common with other tries of the same request.
+    /// Fingerprints, which repeats of the request share.
     pub same: Fingerprints,
 }
 
-/// Closes an attempt with the policy when it is done with, whatever the way.
+/// Reports the outcome of an attempt to the policy when dropped.
 #[derive(Debug)]
 pub struct AttemptGuard {
     gate: Arc<Gate>,
-    /// The attempt with the policy.
+    /// Key of the attempt in the policy.
     pub key: AttemptKey,
-    /// The upstream asked.
+    /// Upstream that the attempt is sent to.
     pub upstream: UpstreamKey,
     request: Fingerprints,
     outcome: Outcome,
-    /// Whether the head of its answer was good.
-    good: bool,
+    /// Whether the head of the answer indicates success.
+    succeeded: bool,
 }
 
 impl AttemptGuard {
-    /// Guards an attempt that was just opened.
+    /// Creates the guard of an attempt that the policy has just opened.
     #[must_use]
     pub fn new(gate: &Arc<Gate>, pick: Pick, request: Fingerprints) -> Self {
         let (key, upstream, gate) = (pick.attempt, pick.upstream, Arc::clone(gate));
-        Self { gate, key, upstream, request, outcome: Outcome::Abandoned, good: false }
+        Self { gate, key, upstream, request, outcome: Outcome::Abandoned, succeeded: false }
     }
 
-    /// Sets how the attempt ended; the guard's drop reports it to the policy.
+    /// Sets the outcome that is reported when the guard is dropped.
     pub const fn ended(&mut self, outcome: Outcome) {
         self.outcome = outcome;
     }
@@ -67,40 +67,40 @@
     fn drop(&mut self) {
         let now = self.gate.now();
         self.gate.chooser.lock().finish(self.key, self.outcome, now);
-        if self.good && self.outcome == Outcome::Whole {
-            self.gate.suspects.served(self.request, now);
+        if self.succeeded && self.outcome == Outcome::Whole {
+            self.gate.suspects.record_success(self.request, now);
         }
     }
 }
 
-/// How an attempt failed, as far as repeating it goes.
+/// Failure of an attempt, classified by whether the request may have been run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// Nothing was sent, since no connection came up.
+    /// Nothing was sent, because no connection was established.
     NotSent {
         /// What happened.
         why: String,
     },
-    /// The upstream proved that it did not run it.
+    /// The upstream stated that it did not run the request.
     NotRun {
         /// What happened.
         why: String,
     },
-    /// Something left and nothing is proven.
+    /// Data was sent, and it is unknown whether the request was run.
     Unknown {
         /// What happened.
         why: String,
     },
 }
 
-/// Body of an answer that is fit to pass on.
+/// Body of an answer that may be forwarded.
 #[derive(Debug)]
 pub enum AnswerBody {
-    /// Still coming.
+    /// Not read yet.
     Open(reqwest::Response),
-    /// Taken whole.
+    /// Completely buffered.
     Whole(Bytes),
-    /// Longer than what is taken whole: its beginning, and the rest.
+    /// Too long to be buffered: the part read so far, and the rest.
     Begun(Bytes, reqwest::Response),
 }
 
@@ -113,30 +113,30 @@
     pub headers: HeaderMap,
 }
 
-/// An answer whose head is fit to pass on.
+/// An answer whose head was accepted.
 #[derive(Debug)]
 pub struct Answer {
     /// Head.
     pub head: AnswerHead,
     /// Body.
     pub body: AnswerBody,
-    /// Guard of the attempt, to be held until the body has passed.
+    /// Guard of the attempt, to be kept until the body is forwarded.
     pub guard: AttemptGuard,
 }
 
-/// Where one attempt goes.
+/// Destination of an attempt.
 #[derive(Clone, Debug)]
 pub struct Destination {
-    /// Name of the upstream, which no other instance ever had.
+    /// Name of the upstream instance, which is never reused.
     pub name: String,
-    /// Its address.
+    /// Address of the upstream.
     pub addr: String,
 }
 
-/// Sends one attempt and judges the head of its answer.
+/// Sends one attempt and checks the head of its answer.
 ///
 /// # Errors
-/// Returns a [`Failure`], already reported to the policy.
+/// Returns a [`Failure`], which was already reported to the policy.
 pub async fn send(
     gate: Arc<Gate>,
     mut guard: AttemptGuard,
@@ -152,26 +152,26 @@
     let response = match request.send().await {
         Ok(r) => r,
         Err(e) => {
-            let (outcome, failure) = failed(&e);
+            let (outcome, failure) = classify(&e);
             guard.ended(outcome);
             drop(guard);
             if outcome == Outcome::Failed {
-                note_if_ended(&gate, &to, &out, began).await;
+                record_if_crashed(&gate, &to, &out, began).await;
             }
             return Err((upstream, failure));
         }
     };
-    if let Err(f) = judge(&gate, &mut guard, (&to, &out), &response, id.as_ref()) {
+    if let Err(f) = check_head(&gate, &mut guard, (&to, &out), &response, id.as_ref()) {
         return Err((upstream, f));
     }
     let head = AnswerHead { status: response.status(), headers: response.headers().clone() };
-    let body = if out.collect { collect(response).await } else { Ok(AnswerBody::Open(response)) };
+    let body = if out.collect { read_body(response).await } else { Ok(AnswerBody::Open(response)) };
     match body {
         Ok(body) => {
             if matches!(body, AnswerBody::Whole(_)) {
                 let (status, headers) = (head.status, &head.headers);
-                let received = ReceivedHead { from: &to.name, attempt: guard.key, status, headers };
-                signals::record_whole(&gate, &received);
+                let head = ReceivedHead { from: &to.name, attempt: guard.key, status, headers };
+                signals::record_complete(&gate, &head);
                 guard.ended(Outcome::Whole);
             }
             Ok(Answer { head, body, guard })
@@ -179,38 +179,38 @@
         Err(why) => {
             guard.ended(Outcome::Wrong);
             drop(guard);
-            note_if_ended(&gate, &to, &out, began).await;
+            record_if_crashed(&gate, &to, &out, began).await;
             Err((upstream, Failure::Unknown { why: format!("the answer was cut: {why}") }))
         }
     }
 }
 
-/// Finds out whether an upstream that broke an attempt off has ended, and notes it.
+/// Checks whether an upstream has crashed after a failed exchange, and records it.
 ///
-/// It comes before any retry, so that a request that crashes upstreams is known for it
-/// by then. Where the upstream runs on, that costs one round trip.
-async fn note_if_ended(gate: &Gate, to: &Destination, out: &Outgoing, began: Time) {
-    let has_ended = has_ended(&to.addr).await;
+/// This happens before any retry, so that a request that crashes upstreams is already a suspect
+/// by then. If the upstream still runs, the check costs one round trip.
+async fn record_if_crashed(gate: &Gate, to: &Destination, out: &Outgoing, began: Time) {
+    let has_ended = refuses_connections(&to.addr).await;
     let (name, same) = (to.name.as_str(), out.same.caller);
-    let word = if has_ended { "has ended" } else { "still runs" };
+    let state = if has_ended { "has terminated" } else { "still runs" };
     log::warn!(
         upstream = name, same:display, content:display = out.same.content, has_ended;
-        "attempt: broken off, {name} {word}"
+        "attempt: connection broken, {name} {state}"
     );
     if has_ended {
         let now = gate.now();
         let end = End { upstream: NameId::of(name), began, ended: now };
-        gate.suspects.ended(out.same, end, now);
+        gate.suspects.record_crash(out.same, end, now);
     }
 }
 
-/// Returns the identity of an attempt: the caller's, or one of our own.
+/// Returns the ID of an attempt, either the caller's or a random one.
 fn attempt_id(dialect: &Dialect, out: &Outgoing) -> Option<HeaderValue> {
     if dialect.caller_attempt {
         return out.headers.get(&dialect.attempt).cloned();
     }
-    let number = format!("{:016x}", fastrand::u64(..));
-    Some(HeaderValue::from_str(&number).expect("hexadecimal fits a header"))
+    let digits = format!("{:016x}", fastrand::u64(..));
+    Some(HeaderValue::from_str(&digits).expect("hexadecimal digits are valid in a header"))
 }
 
 fn build(
@@ -237,19 +237,19 @@
     gate.client.request(out.method.clone(), url).headers(h).body(body)
 }
 
-fn failed(e: &reqwest::Error) -> (Outcome, Failure) {
+fn classify(e: &reqwest::Error) -> (Outcome, Failure) {
     let why = innermost(e);
-    // Only a connection that was never made proves that nothing was run.
+    // Only a failure to connect proves that the request was not run.
     if e.is_connect() {
-        let refused = io_kind(e) == Some(std::io::ErrorKind::ConnectionRefused);
-        let outcome = if refused { Outcome::Refused } else { Outcome::Unreachable };
+        let is_refused = io_kind(e) == Some(std::io::ErrorKind::ConnectionRefused);
+        let outcome = if is_refused { Outcome::Refused } else { Outcome::Unreachable };
         return (outcome, Failure::NotSent { why: format!("connect: {why}") });
     }
     (Outcome::Failed, Failure::Unknown { why: format!("exchange: {why}") })
 }
 
-/// Judges the head of an answer.
-fn judge(
+/// Checks the head of an answer and reports its signals to the policy.
+fn check_head(
     gate: &Gate,
     guard: &mut AttemptGuard,
     (to, out): (&Destination, &Outgoing),
@@ -263,15 +263,18 @@
         return Err(Failure::Unknown { why: "the answer belongs to another request".to_owned() });
     }
     if !d.is_misdirected(r.status()) {
-        let received =
+        let head =
             ReceivedHead { from: &to.name, attempt: guard.key, status: r.status(), headers: h };
-        signals::record(gate, &mut *policy, &received, now);
+        signals::record(gate, &mut *policy, &head, now);
     }
     if d.is_not_run(r.status(), h) {
-        let moved = d.is_misdirected(r.status());
-        guard.ended(if moved { Outcome::Misdirected } else { Outcome::NotRun });
-        let why =
-            if moved { "another instance has the address" } else { "the upstream sheds load" };
+        let is_misdirected = d.is_misdirected(r.status());
+        guard.ended(if is_misdirected { Outcome::Misdirected } else { Outcome::NotRun });
+        let why = if is_misdirected {
+            "another instance has the address"
+        } else {
+            "the upstream sheds load"
+        };
         return Err(Failure::NotRun { why: why.to_owned() });
     }
     if !out.upgrade && !d.unbounded && !is_bounded(r, &out.method) {
@@ -280,44 +283,44 @@
             why: "the answer has no length, so a cut could not be told".to_owned(),
         });
     }
-    let unproven = d.proof.as_ref().is_some_and(|p| !h.contains_key(p));
-    if r.status().is_success() && unproven {
+    let lacks_proof = d.proof.as_ref().is_some_and(|p| !h.contains_key(p));
+    if r.status().is_success() && lacks_proof {
         guard.ended(Outcome::Wrong);
         return Err(Failure::Unknown { why: "the answer lacks its proof".to_owned() });
     }
-    guard.good = !r.status().is_server_error();
-    policy.answered(guard.key, guard.good, now);
-    if let Some(bytes) = r.content_length().filter(|_| guard.good) {
+    guard.succeeded = !r.status().is_server_error();
+    policy.answered(guard.key, guard.succeeded, now);
+    if let Some(bytes) = r.content_length().filter(|_| guard.succeeded) {
         policy.sized(guard.key, bytes);
     }
     Ok(())
 }
 
-/// Buffers a body, or its beginning if it is long.
-async fn collect(mut r: reqwest::Response) -> Result<AnswerBody, String> {
-    let mut taken = BytesMut::new();
+/// Buffers a body up to [`MAX_BUFFERED_ANSWER`] bytes.
+async fn read_body(mut r: reqwest::Response) -> Result<AnswerBody, String> {
+    let mut buffer = BytesMut::new();
     while let Some(chunk) = r.chunk().await.map_err(|e| innermost(&e))? {
-        taken.extend_from_slice(&chunk);
-        if taken.len() > MAX_COLLECTED {
-            return Ok(AnswerBody::Begun(taken.freeze(), r));
+        buffer.extend_from_slice(&chunk);
+        if buffer.len() > MAX_BUFFERED_ANSWER {
+            return Ok(AnswerBody::Begun(buffer.freeze(), r));
         }
     }
-    Ok(AnswerBody::Whole(taken.freeze()))
+    Ok(AnswerBody::Whole(buffer.freeze()))
 }
 
-/// Returns whether the end of an answer can be distinguished from a cut.
+/// Returns whether a truncated body could be detected.
 fn is_bounded(r: &reqwest::Response, method: &Method) -> bool {
-    let empty = r.status().is_informational()
+    let is_empty = r.status().is_informational()
         || matches!(r.status(), StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED)
         || *method == Method::HEAD;
     let h = r.headers();
-    empty
+    is_empty
         || r.version() == Version::HTTP_2
         || h.contains_key(header::CONTENT_LENGTH)
         || h.contains_key(header::TRANSFER_ENCODING)
 }
 
-/// Returns the innermost cause, which says more than the outermost.
+/// Returns the message of the innermost cause, which is the most specific one.
 fn innermost(e: &reqwest::Error) -> String {
     let mut e: &dyn std::error::Error = e;
     while let Some(inner) = e.source() {
@@ -326,7 +329,7 @@
     e.to_string()
 }
 
-/// Returns the kind of the system's error behind an HTTP error.
+/// Returns the kind of the I/O error that caused an HTTP error.
 fn io_kind(e: &reqwest::Error) -> Option<std::io::ErrorKind> {
     let mut at: Option<&dyn std::error::Error> = Some(e);
     while let Some(e) = at {
--- a/crates/honeypulley_proxy/src/body.rs
+++ b/crates/honeypulley_proxy/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies on their way through.
+//! Request and answer bodies that pass through the proxy.
 
 use crate::attempt::AttemptGuard;
 use crate::gate::OpenGuard;
@@ -12,85 +12,85 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::task::{Context, Poll};
 
-/// Longest body kept for a second attempt, in bytes.
-pub const MAX_KEPT: usize = 64 * 1_024;
+/// Longest request body that is buffered for retries, in bytes.
+pub const MAX_BUFFERED: usize = 64 * 1_024;
 
-/// A request's body: kept whole, or passed on as it comes.
+/// A request body, either buffered or streamed.
 #[derive(Debug)]
 pub enum Source {
-    /// Small enough to be retried.
-    Kept(Bytes),
-    /// Sent once; `None` once it is gone.
+    /// Buffered, and available for retries.
+    Buffered(Bytes),
+    /// Streamed to a single attempt; `None` once it is taken.
     Streamed(Option<CallerBody>),
 }
 
-/// A long body on its way from the caller to an upstream.
+/// A long request body that is streamed from the caller to an upstream.
 #[derive(Debug)]
 pub struct CallerBody {
-    /// What was read already.
-    begun: Option<Bytes>,
+    /// Data that was already read.
+    prefix: Option<Bytes>,
     rest: ReqBody,
-    /// Set when the caller's bytes can't be read.
-    broken: Arc<AtomicBool>,
+    /// Set when reading from the caller fails.
+    read_failed: Arc<AtomicBool>,
 }
 
 impl Source {
-    /// Keeps a body that is small; a longer one is streamed, its beginning read.
+    /// Buffers a body of up to [`MAX_KEPT`] bytes; a longer one is streamed.
     ///
     /// # Errors
-    /// Returns what went wrong while reading from the caller.
+    /// Returns the error message if reading from the caller fails.
     pub async fn read(mut body: ReqBody) -> Result<Self, String> {
-        let mut taken = BytesMut::new();
-        while taken.len() <= MAX_KEPT {
+        let mut buffer = BytesMut::new();
+        while buffer.len() <= MAX_BUFFERED {
             let Some(frame) = body.frame().await else {
-                return Ok(Self::Kept(taken.freeze()));
+                return Ok(Self::Buffered(buffer.freeze()));
             };
             let frame = frame.map_err(|e| e.to_string())?;
             if let Ok(data) = frame.into_data() {
-                taken.extend_from_slice(&data);
+                buffer.extend_from_slice(&data);
             }
         }
-        let (begun, broken) = (Some(taken.freeze()), Arc::default());
-        Ok(Self::Streamed(Some(CallerBody { begun, rest: body, broken })))
+        let (prefix, read_failed) = (Some(buffer.freeze()), Arc::default());
+        Ok(Self::Streamed(Some(CallerBody { prefix, rest: body, read_failed })))
     }
 
-    /// Returns a body for one more attempt, if there is one.
+    /// Returns the body for another attempt, if it is still available.
     pub fn take(&mut self) -> Option<reqwest::Body> {
         match self {
-            Self::Kept(b) => Some(reqwest::Body::from(b.clone())),
+            Self::Buffered(b) => Some(reqwest::Body::from(b.clone())),
             Self::Streamed(s) => s.take().map(reqwest::Body::wrap),
         }
     }
 
-    /// Returns whether [`Source::take`] would give a body.
+    /// Returns whether [`Source::take`] would return a body.
     #[must_use]
-    pub const fn is_there(&self) -> bool {
-        matches!(self, Self::Kept(_) | Self::Streamed(Some(_)))
+    pub const fn is_available(&self) -> bool {
+        matches!(self, Self::Buffered(_) | Self::Streamed(Some(_)))
     }
 
-    /// Returns what of the body was read, all of it if it is kept.
+    /// Returns the data read so far, which is the whole body if it is buffered.
     #[must_use]
-    pub fn beginning(&self) -> &[u8] {
+    pub fn prefix(&self) -> &[u8] {
         match self {
-            Self::Kept(b) => b,
-            Self::Streamed(s) => s.as_ref().and_then(|b| b.begun.as_deref()).unwrap_or_default(),
+            Self::Buffered(b) => b,
+            Self::Streamed(s) => s.as_ref().and_then(|b| b.prefix.as_deref()).unwrap_or_default(),
         }
     }
 
-    /// Returns the length in bytes, if it is known before the end.
+    /// Returns the length in bytes, if it is known in advance.
     #[must_use]
     pub fn length(&self) -> Option<u64> {
         match self {
-            Self::Kept(b) => Some(b.len() as u64),
+            Self::Buffered(b) => Some(b.len() as u64),
             Self::Streamed(s) => s.as_ref().and_then(|b| b.size_hint().exact()),
         }
     }
 
-    /// Returns what tells later whether the caller's bytes could be read.
+    /// Returns the flag that is set when reading from the caller fails.
     #[must_use]
-    pub fn broken(&self) -> Option<Arc<AtomicBool>> {
+    pub fn read_failed(&self) -> Option<Arc<AtomicBool>> {
         match self {
-            Self::Streamed(Some(b)) => Some(Arc::clone(&b.broken)),
+            Self::Streamed(Some(b)) => Some(Arc::clone(&b.read_failed)),
             _ => None,
         }
     }
@@ -104,14 +104,15 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Self::Error>>> {
-        if let Some(begun) = self.begun.take() {
-            return Poll::Ready(Some(Ok(Frame::data(begun))));
+        if let Some(prefix) = self.prefix.take() {
+            return Poll::Ready(Some(Ok(Frame::data(prefix))));
         }
         loop {
             let polled = Pin::new(&mut self.rest).poll_frame(cx);
             match &polled {
-                Poll::Ready(Some(Err(_))) => self.broken.store(true, Ordering::Relaxed),
-                // A trailer could name what a header may not: an organisation, a key.
+                Poll::Ready(Some(Err(_))) => self.read_failed.store(true, Ordering::Relaxed),
+                // Trailers are dropped, since they could contain headers that are stripped from
+                // requests, such as the organisation or the key.
                 Poll::Ready(Some(Ok(f))) if f.is_trailers() => continue,
                 _ => {}
             }
@@ -120,11 +121,11 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        self.begun.is_none() && self.rest.is_end_stream()
+        self.prefix.is_none() && self.rest.is_end_stream()
     }
 
     fn size_hint(&self) -> SizeHint {
-        let read = self.begun.as_ref().map_or(0, |b| b.len() as u64);
+        let read = self.prefix.as_ref().map_or(0, |b| b.len() as u64);
         let rest = self.rest.size_hint();
         let mut hint = SizeHint::new();
         hint.set_lower(rest.lower() + read);
@@ -135,36 +136,36 @@
     }
 }
 
-/// An answer's body that reports to the policy how it ended.
+/// An answer body that reports its outcome to the policy.
 #[derive(Debug)]
-pub struct Watched {
-    /// What was taken already, to be passed on first.
-    begun: Option<Bytes>,
+pub struct TrackedBody {
+    /// Buffered data, which is sent first.
+    prefix: Option<Bytes>,
     inner: reqwest::Body,
     guard: Option<AttemptGuard>,
     _open: OpenGuard,
 }
 
-impl Watched {
-    /// Watches a body until it ends.
+impl TrackedBody {
+    /// Wraps a body, starting with the data that was already read.
     #[must_use]
     pub const fn new(
-        begun: Option<Bytes>,
+        prefix: Option<Bytes>,
         inner: reqwest::Body,
         guard: AttemptGuard,
         open: OpenGuard,
     ) -> Self {
-        Self { begun, inner, guard: Some(guard), _open: open }
+        Self { prefix, inner, guard: Some(guard), _open: open }
     }
 
-    fn end(&mut self, outcome: Outcome) {
+    fn finish(&mut self, outcome: Outcome) {
         if let Some(mut g) = self.guard.take() {
             g.ended(outcome);
         }
     }
 }
 
-impl Body for Watched {
+impl Body for TrackedBody {
     type Data = Bytes;
     type Error = reqwest::Error;
 
@@ -172,25 +173,25 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Self::Error>>> {
-        if let Some(begun) = self.begun.take() {
-            return Poll::Ready(Some(Ok(Frame::data(begun))));
+        if let Some(prefix) = self.prefix.take() {
+            return Poll::Ready(Some(Ok(Frame::data(prefix))));
         }
         let polled = Pin::new(&mut self.inner).poll_frame(cx);
         match &polled {
-            // An error passes on, so that a cut reaches the caller as a cut.
-            Poll::Ready(Some(Err(_))) => self.end(Outcome::Wrong),
-            Poll::Ready(None) => self.end(Outcome::Whole),
-            Poll::Ready(Some(Ok(_))) if self.inner.is_end_stream() => self.end(Outcome::Whole),
+            // The error is forwarded, so that the caller notices the truncation.
+            Poll::Ready(Some(Err(_))) => self.finish(Outcome::Wrong),
+            Poll::Ready(None) => self.finish(Outcome::Whole),
+            Poll::Ready(Some(Ok(_))) if self.inner.is_end_stream() => self.finish(Outcome::Whole),
             _ => {}
         }
         polled
     }
 
     fn is_end_stream(&self) -> bool {
-        self.begun.is_none() && self.inner.is_end_stream()
+        self.prefix.is_none() && self.inner.is_end_stream()
     }
 
     fn size_hint(&self) -> SizeHint {
-        if self.begun.is_some() { SizeHint::default() } else { self.inner.size_hint() }
+        if self.prefix.is_some() { SizeHint::default() } else { self.inner.size_hint() }
     }
 }
--- a/crates/honeypulley_proxy/src/dialect.rs
+++ b/crates/honeypulley_proxy/src/dialect.rs
@@ -1,52 +1,52 @@
-//! Names and forms of the headers that callers and upstreams speak.
+//! Header names and formats spoken with callers and upstreams.
 //!
-//! The product has its own; a platform with others gives them by the builder.
+//! The defaults are the product's own; the builder adapts them to other platforms.
 
 use crate::gate::Belongs;
 use crate::headers;
-use crate::named_limit::{self, LimitFault};
-use crate::signals::{self, BackoffFault, LeavingFault};
+use crate::named_limit::{self, InvalidLimit};
+use crate::signals::{self, InvalidBackoff, InvalidShutdown};
 use honeypulley_policy::chooser::LoadReport;
 use honeypulley_policy::organisations::KeyDigest;
 use http::{HeaderMap, HeaderName, HeaderValue, StatusCode, header};
 use std::time::Duration;
 
-/// Longest key of a caller, in bytes; the digest of a longer one is not worth its time.
-const MOST_KEY: usize = 1_024;
+/// Longest accepted key in bytes, which bounds the time spent on its digest.
+const MAX_KEY: usize = 1_024;
 
-/// Form of a load report.
+/// Format of a load report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LoadForm {
-    /// Busy slots over all slots, as a decimal.
+    /// Fraction of busy slots, as a decimal number.
     #[default]
     Share,
-    /// Running, waiting and slots, with commas between.
+    /// Running requests, waiting requests and slots, separated by commas.
     Counts,
 }
 
-/// Form of `Retry-After`.
+/// Format of `Retry-After`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RetryForm {
-    /// Whole seconds, with milliseconds in a header beside it.
+    /// Whole seconds, with milliseconds in an additional header.
     #[default]
     WholeSeconds,
     /// Seconds with a fraction.
     Fraction,
 }
 
-/// Header names and forms.
+/// Header names and formats.
 #[derive(Clone, Debug, bon::Builder)]
 pub struct Dialect {
-    /// Identity of a request, as its caller gives it.
+    /// Request ID, as chosen by the caller.
     #[builder(default = headers::REQUEST_ID)]
     pub request: HeaderName,
-    /// Identity of an attempt, which an upstream's answer repeats.
+    /// Attempt ID, which upstreams echo in their answers.
     #[builder(default = headers::ATTEMPT)]
     pub attempt: HeaderName,
-    /// Whether the caller's own value is the attempt's identity.
+    /// Whether the caller's value is used as the attempt ID.
     #[builder(default)]
     pub caller_attempt: bool,
-    /// Milliseconds left.
+    /// Milliseconds left until the deadline.
     #[builder(default = headers::DEADLINE)]
     pub deadline: HeaderName,
     /// On an answer: the request was not run.
@@ -55,36 +55,35 @@
     /// On an upstream's answer: its load.
     #[builder(default = headers::LOAD)]
     pub load: HeaderName,
-    /// Form of the load.
+    /// Format of the load.
     #[builder(default)]
     pub load_form: LoadForm,
-    /// On an upstream's answer: requests a second that it takes from all boxes together, if the
-    /// dialect knows that.
+    /// On an upstream's answer: its rate limit over all boxes, if supported.
     pub limit: Option<HeaderName>,
-    /// On an upstream's answer: it will shut down.
+    /// On an upstream's answer: the upstream is about to shut down.
     #[builder(default = headers::LEAVING)]
     pub leaving: HeaderName,
-    /// On a request: the only instance that may run it, if the dialect knows that.
+    /// On a request: the only instance that may run it, if supported.
     pub expect: Option<HeaderName>,
-    /// On an upstream's success: must be there.
+    /// On an upstream's success: a header that must be present, if any.
     pub proof: Option<HeaderName>,
-    /// Who asks, for limits.
+    /// Name of the caller, used for its rate limit.
     #[builder(default = headers::CALLER)]
     pub caller: HeaderName,
-    /// A caller's key, which no upstream is shown, if the dialect knows organisations.
+    /// Key of the caller, which is not forwarded, if organisations are supported.
     pub key: Option<HeaderName>,
-    /// The organisation, as upstreams receive it, whatever the caller claims.
+    /// Organisation as forwarded to upstreams; values sent by callers are removed.
     pub organisation: Option<HeaderName>,
-    /// Form of `Retry-After`.
+    /// Format of `Retry-After`.
     #[builder(default)]
     pub retry_form: RetryForm,
-    /// Whether own answers say what is known of the request's run.
+    /// Whether the proxy's own answers state if the request was run.
     #[builder(default = true)]
     pub tells_outcome: bool,
-    /// Whether the load, identity and shutdown headers of upstreams reach the caller.
+    /// Whether the load, attempt ID and shutdown headers of upstreams are forwarded.
     #[builder(default)]
     pub keeps_headers: bool,
-    /// Whether an answer without a length may be passed on.
+    /// Whether answers without length framing may be forwarded.
     #[builder(default)]
     pub unbounded: bool,
 }
@@ -96,15 +95,15 @@
 }
 
 impl Dialect {
-    /// Returns the digest of a caller's key, if it names just one.
+    /// Returns the digest of a caller's key, if the request contains exactly one.
     #[must_use]
     pub fn key_of(&self, h: &HeaderMap) -> Option<KeyDigest> {
         let mut all = h.get_all(self.key.as_ref()?).iter();
-        let one = all.next().filter(|v| !v.is_empty() && v.len() <= MOST_KEY)?;
+        let one = all.next().filter(|v| !v.is_empty() && v.len() <= MAX_KEY)?;
         all.next().is_none().then(|| KeyDigest::of(one.as_bytes()))
     }
 
-    /// Replaces what a caller says of itself by the organisation that it belongs to.
+    /// Removes the caller's key and sets the organisation that it belongs to.
     pub fn set_organisation(&self, belongs: &Belongs, h: &mut HeaderMap) {
         if *belongs == Belongs::Unasked {
             return;
@@ -113,7 +112,8 @@
             h.remove(name);
         }
         if let (Some(header), Belongs::To { name, .. }) = (&self.organisation, belongs) {
-            let value = HeaderValue::from_str(name).expect("names are checked with their table");
+            let value =
+                HeaderValue::from_str(name).expect("names are validated with their routing table");
             h.insert(header.clone(), value);
         }
     }
@@ -136,50 +136,50 @@
         }
     }
 
-    /// Reads the requests a second that an upstream takes from all boxes together, if it says.
+    /// Reads the rate limit over all boxes that an upstream advertises, if any.
     ///
     /// # Errors
-    /// Returns why a limit that it names is not taken.
-    pub fn limit(&self, h: &HeaderMap) -> Result<Option<f64>, LimitFault> {
+    /// Returns an [`InvalidLimit`] if the value is invalid.
+    pub fn limit(&self, h: &HeaderMap) -> Result<Option<f64>, InvalidLimit> {
         self.limit.as_ref().map_or(Ok(None), |name| named_limit::read(h, name))
     }
 
-    /// Reads whether an upstream announces its shutdown.
+    /// Returns whether an upstream announces its shutdown.
     ///
     /// # Errors
-    /// Returns why the announcement is ignored.
-    pub fn leaving(&self, h: &HeaderMap) -> Result<bool, LeavingFault> {
-        signals::read_leaving(h, &self.leaving)
+    /// Returns an [`InvalidShutdown`] if the value is invalid.
+    pub fn leaving(&self, h: &HeaderMap) -> Result<bool, InvalidShutdown> {
+        signals::read_shutdown(h, &self.leaving)
     }
 
-    /// Returns whether an answer proves that the request did not run.
+    /// Returns whether an answer states that the request was not run.
     #[must_use]
     pub fn is_not_run(&self, status: StatusCode, h: &HeaderMap) -> bool {
         h.contains_key(&self.not_run) || self.is_misdirected(status)
     }
 
-    /// Returns whether another instance than the expected one has the address.
+    /// Returns whether the request reached an instance other than the expected one.
     #[must_use]
     pub fn is_misdirected(&self, status: StatusCode) -> bool {
         self.expect.is_some() && status == StatusCode::MISDIRECTED_REQUEST
     }
 
-    /// Reads the time for which an upstream wants nothing from this box.
+    /// Reads the backoff that an upstream requests from this box.
     ///
     /// # Errors
-    /// Returns why the time is ignored.
+    /// Returns an [`InvalidBackoff`] if the value is invalid.
     pub fn backoff(
         &self,
         status: StatusCode,
         h: &HeaderMap,
-    ) -> Result<Option<Duration>, BackoffFault> {
-        if !signals::may_ask_backoff(self, status, h) {
+    ) -> Result<Option<Duration>, InvalidBackoff> {
+        if !signals::may_request_backoff(self, status, h) {
             return Ok(None);
         }
         signals::read_backoff(h)
     }
 
-    /// Writes when a caller may retry.
+    /// Sets the headers that state when a caller may retry.
     pub fn set_retry_after(&self, d: Duration, h: &mut HeaderMap) {
         match self.retry_form {
             RetryForm::WholeSeconds => {
@@ -189,7 +189,7 @@
             }
             RetryForm::Fraction => {
                 let text = format!("{:.3}", d.as_secs_f64());
-                let value = HeaderValue::from_str(&text).expect("digits fit a header");
+                let value = HeaderValue::from_str(&text).expect("digits are valid in a header");
                 h.insert(header::RETRY_AFTER, value);
             }
         }
--- a/crates/honeypulley_proxy/src/fingerprint.rs
+++ b/crates/honeypulley_proxy/src/fingerprint.rs
@@ -1,10 +1,10 @@
-//! What makes two requests the same one.
+//! Fingerprints that identify repeats of the same request.
 //!
-//! A caller that sends a request again gives it a new id and a new deadline, and comes from
-//! another port to another box. Method, host, path with query, body and the caller's address
-//! stay. The digest is keyed, so that no caller can build a request that is taken for
-//! another's. Both fingerprints take 0.4 us without a body, 1.6 us with 1 KiB and 25 us with the
-//! 64 KiB that are kept at most (`benches/fingerprint.rs`).
+//! When a caller repeats a request, its ID, deadline, source port and box may change. Method,
+//! host, path with query, body and the caller's address stay the same. The digest is keyed, so
+//! that callers can't construct a request with the fingerprint of another one. Computing both
+//! fingerprints takes 0.4 us without a body, 1.6 us with 1 KiB and 25 us with 64 KiB, the longest
+//! buffered body (`benches/fingerprint.rs`).
 
 use crate::body::Source;
 use honeypulley_policy::quarantine::{Fingerprint, Fingerprints};
@@ -12,7 +12,7 @@
 use std::fmt;
 use std::net::IpAddr;
 
-/// What of a request its fingerprint covers.
+/// Parts of a request that its fingerprints cover, besides the body.
 #[derive(Clone, Copy, Debug)]
 pub struct Identity<'a> {
     /// Method.
@@ -21,13 +21,13 @@
     pub host: &'a str,
     /// Path with query.
     pub path: &'a str,
-    /// Address that the caller comes from, if it is known.
+    /// Address of the caller, if it is known.
     pub caller: Option<IpAddr>,
-    /// Name that the caller gives itself, if any.
-    pub named: Option<&'a str>,
+    /// Name sent by the caller, if any.
+    pub caller_name: Option<&'a str>,
 }
 
-/// Makes fingerprints with the fleet's key, so that all boxes make the same.
+/// Computes fingerprints with the fleet's key, so that they are the same on all boxes.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Fingerprinter([u8; 32]);
 
@@ -38,7 +38,7 @@
 }
 
 impl Fingerprinter {
-    /// Builds it with a key that the fleet's boxes share and callers do not know.
+    /// Creates a fingerprinter with a secret key shared by all boxes of the fleet.
     #[must_use]
     pub const fn new(key: [u8; 32]) -> Self {
         Self(key)
@@ -46,25 +46,25 @@
 
     /// Returns the fingerprints of a request.
     ///
-    /// A streamed body counts with its beginning and its length, if that is known.
+    /// Of a streamed body, only the beginning and the length, if known, are covered.
     #[must_use]
     pub fn of(&self, id: &Identity<'_>, body: &Source) -> Fingerprints {
         let mut hasher = blake3::Hasher::new_keyed(&self.0);
-        add(&mut hasher, id.method.as_str().as_bytes());
-        add(&mut hasher, id.host.as_bytes());
-        add(&mut hasher, id.path.as_bytes());
+        hash_part(&mut hasher, id.method.as_str().as_bytes());
+        hash_part(&mut hasher, id.host.as_bytes());
+        hash_part(&mut hasher, id.path.as_bytes());
         hasher.update(&body.length().unwrap_or(u64::MAX).to_le_bytes());
-        add(&mut hasher, body.beginning());
+        hash_part(&mut hasher, body.prefix());
         let content = finish(&hasher);
         let address = id.caller.map_or_else(String::new, |ip| ip.to_string());
-        add(&mut hasher, address.as_bytes());
-        add(&mut hasher, id.named.unwrap_or_default().as_bytes());
+        hash_part(&mut hasher, address.as_bytes());
+        hash_part(&mut hasher, id.caller_name.unwrap_or_default().as_bytes());
         Fingerprints { caller: finish(&hasher), content }
     }
 }
 
-/// Adds a part with its length, which keeps two parts from being taken for one.
-fn add(hasher: &mut blake3::Hasher, part: &[u8]) {
+/// Hashes a part prefixed with its length, so that the boundaries between parts matter.
+fn hash_part(hasher: &mut blake3::Hasher, part: &[u8]) {
     hasher.update(&(part.len() as u64).to_le_bytes());
     hasher.update(part);
 }
--- a/crates/honeypulley_proxy/src/gate.rs
+++ b/crates/honeypulley_proxy/src/gate.rs
@@ -1,4 +1,4 @@
-//! What the serving path needs, whichever configuration and policy stand behind.
+//! State of the serving path, independent of the configuration source and the policy.
 
 use crate::answer::OwnAnswer;
 use crate::dialect::Dialect;
@@ -19,19 +19,19 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// Time for a connection to an upstream to come up.
+/// Timeout for connecting to an upstream.
 ///
-/// Twenty round trips between the farthest data halls of a region, 10 ms.
-const CONNECT_TIME: Duration = Duration::from_millis(200);
-/// Time after which a connection whose bytes are not acknowledged is given up.
-const UNACKED_TIME: Duration = Duration::from_secs(3);
-/// Time that an unused connection to an upstream is kept.
-const POOL_IDLE: Duration = Duration::from_secs(20);
-
-/// What a caller asks for, as far as routing goes.
+/// Twenty round trips of 10 ms, the longest within a region.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
+/// Time after which a connection with unacknowledged data is closed.
+const UNACKED_TIMEOUT: Duration = Duration::from_secs(3);
+/// Time after which an idle connection to an upstream is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
+
+/// Properties of a request that determine its route.
 #[derive(Clone, Copy, Debug)]
 pub struct Wanted<'a> {
-    /// The request's id, for logs.
+    /// Request ID, for logs.
     pub request: &'a str,
     /// Host without its port, in lower case.
     pub host: &'a str,
@@ -41,28 +41,28 @@
     pub method: &'a Method,
     /// Headers.
     pub headers: &'a HeaderMap,
-    /// Digest of the caller's key, if it names just one.
+    /// Digest of the caller's key, if the request contains exactly one.
     pub key: Option<KeyDigest>,
 }
 
-/// Whose request it is.
+/// Organisation that a request belongs to, if any.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Belongs {
-    /// The configuration names no organisations; what callers say of themselves is passed on.
+    /// The configuration has no organisations, and the callers' headers are forwarded.
     Unasked,
-    /// Nobody's in particular: the route is open to all.
+    /// The route is open to all callers, and no organisation applies.
     Nobody,
-    /// That of an organisation, whose key the caller showed.
+    /// The organisation that holds the key sent by the caller.
     To {
-        /// Key of the organisation in all that boxes count and tell.
+        /// Identifier in counters and announcements.
         id: NameId,
-        /// Its name, which the upstream receives.
+        /// Name, which is forwarded to upstreams.
         name: Arc<str>,
     },
 }
 
 impl Belongs {
-    /// Returns the organisation's name for the log, empty if there is none.
+    /// Returns the organisation's name for the log, or an empty string if there is none.
     #[must_use]
     pub fn name(&self) -> &str {
         match self {
@@ -72,72 +72,72 @@
     }
 }
 
-/// Where a request goes and how it may be treated.
+/// Result of routing a request.
 #[derive(Clone, Debug)]
 pub struct Routed {
-    /// Whose request it is.
+    /// Organisation that the request belongs to.
     pub belongs: Belongs,
-    /// What the policy is asked.
+    /// Request to the policy for an upstream.
     pub ask: Ask,
     /// Name of the service.
     pub service: String,
-    /// Longest time that the request may be held, if the route says.
+    /// Timeout of the request, if the route defines one.
     pub timeout: Option<Duration>,
-    /// Most upstreams that the request may run on.
+    /// Maximum number of upstreams that may run the request.
     pub attempts: usize,
-    /// Version of the configuration that said so.
+    /// Version of the configuration that the route comes from.
     pub version: u64,
-    /// Whether a short answer is taken whole before any of it is passed on.
+    /// Whether short answers are buffered before they are forwarded.
     pub collect: bool,
-    /// Longest body that is taken, in bytes.
+    /// Longest accepted body, in bytes.
     pub body_bytes: u64,
 }
 
-/// Finds where a request goes.
+/// Finds the routes of requests.
 pub trait Routes: Debug + Send + Sync {
-    /// Returns what a request has to wait for before there are routes, if that is on its way.
+    /// Returns a future to await before routing, if routes are about to become available.
     fn settling(&self) -> Option<BoxFuture<'_, ()>> {
         None
     }
 
-    /// Finds the route of a request and takes what the limits allow.
+    /// Finds the route of a request and applies the rate limits.
     ///
     /// # Errors
-    /// Returns our own answer, to be given at once.
+    /// Returns the answer for the caller if the request is rejected.
     fn route(&self, wanted: &Wanted<'_>, now: Time) -> Result<Routed, OwnAnswer>;
 }
 
-/// Whether connections to upstreams are used again.
+/// Whether connections to upstreams are reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reuse {
-    /// Kept for later requests.
+    /// Connections are kept for later requests.
     Pooled,
-    /// Each attempt has its own, so that no answer can meet another request.
+    /// Each attempt uses a new connection, so that answers can't be mixed up.
     Fresh,
 }
 
 /// State of the serving path.
 ///
-/// The lock is taken by the serving thread alone, so it is never waited for; it
-/// is there since the HTTP library asks for `Send`.
+/// Only the serving thread takes the lock of the policy, so it is never contended. The lock
+/// exists because the HTTP library requires `Send`.
 pub struct Gate {
     /// The policy.
     pub chooser: Arc<Mutex<dyn Chooser>>,
     /// Routes in force.
     pub routes: Arc<dyn Routes>,
-    /// Headers spoken.
+    /// Header names and formats.
     pub dialect: Dialect,
-    /// What tells requests that are the same.
+    /// Identifies repeats of a request.
     pub fingerprints: Fingerprinter,
-    /// Requests under which upstreams ended.
+    /// Quarantine of requests that crash upstreams.
     pub suspects: Arc<dyn Suspects>,
-    /// Client towards upstreams.
+    /// HTTP client for upstreams.
     pub client: reqwest::Client,
-    /// The process's clock.
+    /// Clock of the process.
     pub clock: Clock,
-    /// Metrics.
+    /// Metrics client.
     pub metrics: Arc<StatsdClient>,
-    /// Upgraded sessions and requests that are open.
+    /// Number of open requests and upgraded sessions.
     pub open: AtomicUsize,
     /// Set during a planned stop.
     pub leaving: Arc<AtomicBool>,
@@ -149,33 +149,34 @@
     }
 }
 
-/// Builds the client towards upstreams; `source` is where its connections come
-/// from, if not the usual address.
+/// Builds the HTTP client for upstreams.
+///
+/// Connections are bound to the local address `source`, if it is given.
 ///
 /// # Errors
-/// Returns an error if the HTTP client can't be set up.
+/// Returns an error if the HTTP client can't be built.
 pub fn client(source: Option<IpAddr>, reuse: Reuse) -> Result<reqwest::Client, reqwest::Error> {
-    // The library must not act on its own: no redirects, no proxy from the
-    // environment, no retries. Answers stay encoded as they came.
+    // The library must not follow redirects, use a proxy from the environment, or retry.
+    // Answers are forwarded without being decoded.
     let builder = reqwest::Client::builder()
         .no_proxy()
         .redirect(reqwest::redirect::Policy::none())
         .retry(reqwest::retry::never())
-        .pool_idle_timeout(POOL_IDLE)
+        .pool_idle_timeout(IDLE_TIMEOUT)
         .http1_only()
         .local_address(source);
     match reuse {
         Reuse::Pooled => builder.connect_timeout(Duration::from_millis(500)).build(),
         Reuse::Fresh => builder
-            .connect_timeout(CONNECT_TIME)
-            .tcp_user_timeout(UNACKED_TIME)
+            .connect_timeout(CONNECT_TIMEOUT)
+            .tcp_user_timeout(UNACKED_TIMEOUT)
             .pool_max_idle_per_host(0)
             .build(),
     }
 }
 
 impl Gate {
-    /// Returns the time now.
+    /// Returns the current time.
     #[must_use]
     pub fn now(&self) -> Time {
         self.clock.now()
@@ -186,18 +187,18 @@
         let _ = self.metrics.incr(name);
     }
 
-    /// Counts one event with its tags.
+    /// Counts one event with tags.
     pub fn count_for(&self, name: &str, tags: &[(&str, &str)]) {
         let one = self.metrics.count_with_tags(name, 1);
         tags.iter().fold(one, |m, (k, v)| m.with_tag(k, v)).send();
     }
 
-    /// Counts `n` of something.
+    /// Counts `n` events.
     pub fn count_by(&self, name: &str, n: usize) {
         let _ = self.metrics.count(name, n as u64);
     }
 
-    /// Books how long something of a service took.
+    /// Records a duration for a service.
     pub fn time(&self, name: &str, service: &str, d: Duration) {
         self.metrics.time_with_tags(name, d.as_millis() as u64).with_tag("service", service).send();
     }
@@ -208,7 +209,7 @@
 pub struct OpenGuard(Arc<Gate>);
 
 impl OpenGuard {
-    /// Counts one more.
+    /// Increments the count of open requests and sessions.
     #[must_use]
     pub fn new(gate: &Arc<Gate>) -> Self {
         gate.open.fetch_add(1, Ordering::Relaxed);
--- a/crates/honeypulley_proxy/src/handler.rs
+++ b/crates/honeypulley_proxy/src/handler.rs
@@ -1,15 +1,15 @@
-//! Takes a caller's request: checks, routes, limits, runs and passes back.
+//! Request handler: validates, routes and forwards a request, and returns the answer.
 
 use crate::answer::{OwnAnswer, Ran};
 use crate::attempt::{Answer, AnswerBody, Outgoing};
-use crate::body::{Source, Watched};
+use crate::body::{Source, TrackedBody};
 use crate::fingerprint::Identity;
 use crate::gate::{Gate, OpenGuard, Wanted};
 use crate::headers;
 use crate::race::Race;
 use crate::upgrade;
 use async_trait::async_trait;
-use honeypulley_policy::quarantine::{Fingerprint, Fingerprints, Standing};
+use honeypulley_policy::quarantine::{Fingerprint, Fingerprints, Restriction};
 use http::{HeaderValue, Method, StatusCode, Version, header};
 use http_body::Body;
 use http_body_util::BodyExt;
@@ -20,17 +20,17 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// Longest time a caller's whole small body may take to come.
-const BODY_TIME: Duration = Duration::from_secs(10);
+/// Timeout for reading the buffered part of a caller's body.
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The handler of every caller's request.
+/// HTTP handler for all requests of callers.
 #[derive(Clone, Debug)]
 pub struct ProxyHandler {
     gate: Arc<Gate>,
 }
 
 impl ProxyHandler {
-    /// Builds the handler over the serving path's state.
+    /// Creates the handler with the state of the serving path.
     #[must_use]
     pub const fn new(gate: Arc<Gate>) -> Self {
         Self { gate }
@@ -55,25 +55,26 @@
             key: dialect.key_of(req.headers()),
         };
         let mut routed = self.gate.routes.route(&wanted, self.gate.now())?;
-        let asked = headers::number(req.headers(), &dialect.deadline).map(Duration::from_millis);
-        let most = [asked, routed.timeout].into_iter().flatten().min();
-        let deadline = most.map(|d| began + d);
-        let switch = req.extensions_mut().remove::<OnUpgrade>();
+        let requested =
+            headers::number(req.headers(), &dialect.deadline).map(Duration::from_millis);
+        let timeout = [requested, routed.timeout].into_iter().flatten().min();
+        let deadline = timeout.map(|d| began + d);
+        let on_upgrade = req.extensions_mut().remove::<OnUpgrade>();
         let mut out = self.outgoing(req, &id);
         dialect.set_organisation(&routed.belongs, &mut out.headers);
         out.collect = routed.collect && !out.upgrade;
         routed.ask.repeatable &= !out.upgrade;
-        let source = take_body(req, routed.body_bytes).await?;
+        let source = read_body(req, routed.body_bytes).await?;
         let identity = Identity {
             method: &out.method,
             host: &host,
             path: &out.path,
             caller: req.remote_addr().ip(),
-            named: headers::text(req.headers(), &dialect.caller),
+            caller_name: headers::text(req.headers(), &dialect.caller),
         };
         out.same = self.gate.fingerprints.of(&identity, &source);
-        self.admit(&id, out.same)?;
-        let broken = source.broken();
+        self.check_hold(&id, out.same)?;
+        let read_failed = source.read_failed();
         let service = routed.service.clone();
         let race = Race {
             gate: Arc::clone(&self.gate),
@@ -84,41 +85,41 @@
             deadline,
         };
         let answer = race.run().await.map_err(|own| {
-            // A body that can't be read is the caller's fault, whatever followed.
-            let fault = broken.is_some_and(|b| b.load(Ordering::Relaxed));
-            if fault { bad_request("the body can't be read") } else { own }
+            // If the body could not be read, this is the cause of any later failure.
+            let is_unreadable = read_failed.is_some_and(|b| b.load(Ordering::Relaxed));
+            if is_unreadable { bad_request("the body can't be read") } else { own }
         })?;
         let took = self.gate.now().since(began);
-        self.ended(&id, &service, answer.head.status, took);
-        match switch {
+        self.record_answer(&id, &service, answer.head.status, took);
+        match on_upgrade {
             Some(caller) if answer.head.status == StatusCode::SWITCHING_PROTOCOLS => {
-                upgrade::carry(&self.gate, caller, answer, id, res);
+                upgrade::relay(&self.gate, caller, answer, id, res);
             }
-            _ => self.pass(answer, open, res),
+            _ => self.forward(answer, open, res),
         }
         Ok(())
     }
 
-    /// Refuses a request that is held since upstreams ended under it.
-    fn admit(&self, id: &str, same: Fingerprints) -> Result<(), OwnAnswer> {
+    /// Rejects a request that is held because it crashes upstreams.
+    fn check_hold(&self, id: &str, same: Fingerprints) -> Result<(), OwnAnswer> {
         let now = self.gate.now();
-        let Standing::Held { left } = self.gate.suspects.standing(same, now) else {
+        let Restriction::Held { left } = self.gate.suspects.restriction(same, now) else {
             return Ok(());
         };
-        self.gate.suspects.refused(same, now);
+        self.gate.suspects.record_rejection(same, now);
         self.gate.count("requests.held");
         log::warn!(
             request = id, same:display = same.caller, content:display = same.content,
             left_ms = left.as_millis() as u64;
-            "route: refused, upstreams ended under this request"
+            "route: refused, upstreams crashed during this request"
         );
         let wait = left.mul_f64(1.0 + fastrand::f64() / 10.0);
         let why = "upstreams ended while they ran this request, so it is not sent on".to_owned();
         Err(OwnAnswer::not_run(StatusCode::SERVICE_UNAVAILABLE, Some(wait), why))
     }
 
-    /// Books an upstream's answer that is passed on.
-    fn ended(&self, id: &str, service: &str, status: StatusCode, took: Duration) {
+    /// Logs and counts an upstream's answer that is forwarded.
+    fn record_answer(&self, id: &str, service: &str, status: StatusCode, took: Duration) {
         let outcome = if status.is_server_error() { "failed" } else { "served" };
         self.gate.count_for("requests.answered", &[("service", service), ("outcome", outcome)]);
         self.gate.time("requests.duration_ms", service, took);
@@ -130,14 +131,14 @@
         );
     }
 
-    /// Returns the caller's id of a request, or one of our own for the logs.
+    /// Returns the caller's request ID, or a random one.
     fn request_id(&self, req: &Request) -> String {
-        let named = headers::text(req.headers(), &self.gate.dialect.request);
-        let given = named.filter(|t| t.len() <= 128);
+        let value = headers::text(req.headers(), &self.gate.dialect.request);
+        let given = value.filter(|t| t.len() <= 128);
         given.map_or_else(|| format!("{:016x}", fastrand::u64(..)), str::to_owned)
     }
 
-    /// Builds what is sent on from what came in.
+    /// Builds the request to upstreams from the caller's request.
     fn outgoing(&self, req: &Request, id: &str) -> Outgoing {
         let dialect = &self.gate.dialect;
         let mut h = req.headers().clone();
@@ -155,7 +156,7 @@
             h.remove(expect);
         }
         if let Some(authority) = req.uri().authority()
-            && (line_rules(req) || !h.contains_key(header::HOST))
+            && (prefers_request_line(req) || !h.contains_key(header::HOST))
             && let Ok(host) = authority.as_str().parse()
         {
             h.insert(header::HOST, host);
@@ -176,8 +177,8 @@
         }
     }
 
-    /// Passes an upstream's answer back, body and all.
-    fn pass(&self, answer: Answer, open: OpenGuard, res: &mut Response) {
+    /// Forwards an upstream's answer to the caller.
+    fn forward(&self, answer: Answer, open: OpenGuard, res: &mut Response) {
         let Answer { head, body, guard } = answer;
         let dialect = &self.gate.dialect;
         let mut h = head.headers;
@@ -189,16 +190,16 @@
         }
         res.status_code(head.status);
         *res.headers_mut() = h;
-        let (begun, rest) = match body {
+        let (prefix, rest) = match body {
             AnswerBody::Whole(all) => {
                 res.replace_body(ResBody::Once(all));
                 return;
             }
             AnswerBody::Open(rest) => (None, rest),
-            AnswerBody::Begun(begun, rest) => (Some(begun), rest),
+            AnswerBody::Begun(prefix, rest) => (Some(prefix), rest),
         };
         let rest: http::Response<reqwest::Body> = rest.into();
-        let body = Watched::new(begun, rest.into_body(), guard, open);
+        let body = TrackedBody::new(prefix, rest.into_body(), guard, open);
         res.replace_body(ResBody::Boxed(Box::pin(body.map_err(salvo::BoxedError::from))));
     }
 }
@@ -222,22 +223,22 @@
             );
             own.write(&self.gate.dialect, res);
         }
-        let switched = res.status_code == Some(StatusCode::SWITCHING_PROTOCOLS);
+        let is_upgraded = res.status_code == Some(StatusCode::SWITCHING_PROTOCOLS);
         let leaving = self.gate.leaving.load(Ordering::Relaxed);
-        if leaving && !switched && req.version() <= Version::HTTP_11 {
+        if leaving && !is_upgraded && req.version() <= Version::HTTP_11 {
             res.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
     }
 }
 
-/// Reads a caller's body, whole if it is small.
-async fn take_body(req: &mut Request, most: u64) -> Result<Source, OwnAnswer> {
+/// Reads a caller's body, which is buffered if it is small.
+async fn read_body(req: &mut Request, max_bytes: u64) -> Result<Source, OwnAnswer> {
     let body = req.take_body();
-    if body.size_hint().lower() > most {
-        let why = format!("the body is longer than {most} bytes");
+    if body.size_hint().lower() > max_bytes {
+        let why = format!("the body is longer than {max_bytes} bytes");
         return Err(OwnAnswer::not_run(StatusCode::PAYLOAD_TOO_LARGE, None, why));
     }
-    match tokio::time::timeout(BODY_TIME, Source::read(body)).await {
+    match tokio::time::timeout(BODY_TIMEOUT, Source::read(body)).await {
         Ok(Ok(s)) => Ok(s),
         Ok(Err(e)) => Err(bad_request(&e)),
         Err(_) => {
@@ -247,7 +248,7 @@
     }
 }
 
-/// Refuses what two readers could frame differently (RFC 9112 section 6.3).
+/// Rejects CONNECT, several hosts and ambiguous framing (RFC 9112 section 6.3).
 fn check_framing(req: &Request) -> Result<(), OwnAnswer> {
     let h = req.headers();
     let lengths = h.get_all(header::CONTENT_LENGTH).iter().count();
@@ -270,19 +271,20 @@
 
 /// Returns the host without its port, in lower case.
 ///
-/// In HTTP/1 the request line goes before the header (RFC 9112 section 3.2.2).
-/// HTTP/2 names an authority with every request; a host beside it is the caller's
-/// express wish.
+/// In HTTP/1 the request line takes precedence over the header (RFC 9112 section 3.2.2). In
+/// HTTP/2 every request has an authority, so an additional host header was set on purpose and
+/// takes precedence.
 fn host_of(req: &Request) -> Result<String, OwnAnswer> {
-    let named = headers::text(req.headers(), &header::HOST);
-    let line = req.uri().host();
-    let host = if line_rules(req) { line.or(named) } else { named.or(line) };
+    let value = headers::text(req.headers(), &header::HOST);
+    let from_uri = req.uri().host();
+    let host = if prefers_request_line(req) { from_uri.or(value) } else { value.or(from_uri) };
     let host = host.ok_or_else(|| bad_request("no host is named"))?;
-    let bare = if host.starts_with('[') { host } else { host.split(':').next().unwrap_or(host) };
-    Ok(bare.to_ascii_lowercase())
+    let host_only =
+        if host.starts_with('[') { host } else { host.split(':').next().unwrap_or(host) };
+    Ok(host_only.to_ascii_lowercase())
 }
 
-/// Returns whether a host in the request line goes before the header.
-fn line_rules(req: &Request) -> bool {
+/// Returns whether a host in the request line takes precedence over the header.
+fn prefers_request_line(req: &Request) -> bool {
     req.version() <= Version::HTTP_11
 }
--- a/crates/honeypulley_proxy/src/headers.rs
+++ b/crates/honeypulley_proxy/src/headers.rs
@@ -1,36 +1,36 @@
-//! Headers of the protocol with callers and upstreams.
+//! Header names and helpers of the protocol with callers and upstreams.
 
 use http::header::{self, HeaderMap, HeaderName};
 
-/// Number of one attempt; an upstream that echoes it must echo it right.
+/// ID of an attempt; an upstream may echo it, and a different value is an error.
 pub const ATTEMPT: HeaderName = HeaderName::from_static("honeypulley-attempt");
-/// Milliseconds left until the deadline, from caller to us and on to upstreams.
+/// Milliseconds left until the deadline, sent by callers and forwarded to upstreams.
 pub const DEADLINE: HeaderName = HeaderName::from_static("honeypulley-deadline-ms");
 /// On an answer: the request was not run.
 pub const NOT_RUN: HeaderName = HeaderName::from_static("honeypulley-not-run");
-/// On an answer of ours: `not-run` or `unknown`.
+/// On an answer of the proxy itself: `not-run` or `unknown`.
 pub const OUTCOME: HeaderName = HeaderName::from_static("honeypulley-outcome");
-/// On an upstream's answer: it will shut down.
+/// On an upstream's answer: the upstream is about to shut down.
 pub const LEAVING: HeaderName = HeaderName::from_static("honeypulley-drain");
-/// On an upstream's answer: busy slots over all slots, as a decimal.
+/// On an upstream's answer: fraction of busy slots, as a decimal number.
 pub const LOAD: HeaderName = HeaderName::from_static("honeypulley-load");
-/// Who asks, for limits.
+/// Name of the caller, used for its rate limit.
 pub const CALLER: HeaderName = HeaderName::from_static("honeypulley-caller");
-/// Identity of a request through all its attempts.
+/// ID of a request, shared by all of its attempts.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
-/// Milliseconds after which to come back; `Retry-After` only knows seconds.
+/// Milliseconds until a retry, since `Retry-After` has a resolution of one second.
 pub const RETRY_AFTER_MS: HeaderName = HeaderName::from_static("retry-after-ms");
 
-/// Removes what concerns one connection only (RFC 9110 section 7.6.1).
+/// Removes hop-by-hop headers (RFC 9110 section 7.6.1).
 pub fn strip_hop_by_hop(h: &mut HeaderMap) {
-    let named: Vec<HeaderName> = h
+    let listed: Vec<HeaderName> = h
         .get_all(header::CONNECTION)
         .iter()
         .filter_map(|v| v.to_str().ok())
         .flat_map(|v| v.split(','))
         .filter_map(|n| n.trim().parse().ok())
         .collect();
-    for n in named {
+    for n in listed {
         h.remove(n);
     }
     for n in [
@@ -48,13 +48,13 @@
     }
 }
 
-/// Returns a header as text.
+/// Returns the value of a header as text, if it is valid.
 #[must_use]
 pub fn text<'a>(h: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     h.get(name).and_then(|v| v.to_str().ok())
 }
 
-/// Returns a header as a number.
+/// Returns the value of a header as a number, if it is valid.
 #[must_use]
 pub fn number<T: std::str::FromStr>(h: &HeaderMap, name: &HeaderName) -> Option<T> {
     text(h, name).and_then(|t| t.trim().parse().ok())
--- a/crates/honeypulley_proxy/src/lib.rs
+++ b/crates/honeypulley_proxy/src/lib.rs
@@ -1,9 +1,9 @@
-//! Carries requests and long sessions from callers to upstreams.
+//! Forwards requests and upgraded sessions from callers to upstreams.
 //!
-//! [`handler`] takes a request, [`race`] runs its attempts, [`attempt`] is one
-//! exchange with one upstream. Every decision is the policy's; what is here
-//! sends, streams and answers. [`gate`] holds what these need, [`dialect`] the
-//! headers spoken, [`shared`] the product's own configuration and policy.
+//! [`handler`] receives a request, [`race`] runs its attempts, and [`attempt`] implements a
+//! single exchange with an upstream. All decisions are made by the policy; this crate sends,
+//! streams and answers. [`gate`] contains the state that they share, [`dialect`] the header
+//! names and formats, and [`shared`] the configuration by bundles and the product's own policy.
 
 pub mod answer;
 pub mod attempt;
@@ -22,7 +22,7 @@
 pub mod suspects;
 pub mod upgrade;
 
-/// The names most users of this crate need.
+/// Commonly used items of this crate.
 pub mod prelude {
     pub use crate::{
         dialect::Dialect,
--- a/crates/honeypulley_proxy/src/liveness.rs
+++ b/crates/honeypulley_proxy/src/liveness.rs
@@ -1,20 +1,21 @@
-//! Whether an upstream that broke a connection off still runs.
+//! Checks whether an upstream still runs after a broken connection.
 
 use std::io::ErrorKind;
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// Longest time for the answer to one packet.
+/// Timeout of the connection attempt.
 ///
-/// Five round trips between the farthest data halls of a region, 10 ms. A program that ended
-/// is told by its machine after one; a machine that says nothing is no program that ended.
-const CHECK_TIME: Duration = Duration::from_millis(50);
+/// Five round trips of 10 ms, the longest within a region. If the process has terminated, its
+/// machine refuses the connection after one round trip. A machine that does not answer at all
+/// does not prove that the process has terminated.
+const CHECK_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// Returns whether nothing listens at an address any more.
+/// Returns whether an address refuses connections, so that its process has terminated.
 ///
-/// A connection that breaks off alone says little: upstreams reset connections, lose answers
-/// and close idle ones while they run on. One whose port is closed right afterwards has ended.
-pub async fn has_ended(addr: &str) -> bool {
-    let answer = tokio::time::timeout(CHECK_TIME, TcpStream::connect(addr)).await;
-    matches!(answer, Ok(Err(e)) if e.kind() == ErrorKind::ConnectionRefused)
+/// A broken connection is no sufficient evidence, since running upstreams may reset connections,
+/// lose answers and close idle connections. A closed port right afterwards is.
+pub async fn refuses_connections(addr: &str) -> bool {
+    let result = tokio::time::timeout(CHECK_TIMEOUT, TcpStream::connect(addr)).await;
+    matches!(result, Ok(Err(e)) if e.kind() == ErrorKind::ConnectionRefused)
 }
--- a/crates/honeypulley_proxy/src/named_limit.rs
+++ b/crates/honeypulley_proxy/src/named_limit.rs
@@ -1,43 +1,43 @@
-//! The limit that an upstream names in its answers: requests a second from all boxes together.
+//! Parsing of the fleet-wide rate limit that upstreams advertise in their answers.
 
-use crate::signals::{shown, text};
+use crate::signals::{excerpt, text};
 use http::{HeaderMap, HeaderName};
 
-/// Most requests a second that are believed of one upstream.
-const MOST_RATE: f64 = 1_000_000.0;
+/// Highest accepted limit, in requests per second.
+const MAX_RATE: f64 = 1_000_000.0;
 
-/// Why a named limit is not taken.
+/// Reason why an advertised limit is ignored.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum LimitFault {
-    /// The answer names several.
-    #[error("{0} limits in one answer")]
-    Several(usize),
-    /// It is no plain decimal number: a sign, an exponent, blanks within, or other text.
+pub enum InvalidLimit {
+    /// The answer contains several limits.
+    #[error("expected one limit, got {0}")]
+    Multiple(usize),
+    /// The value has a sign, an exponent, inner spaces or other characters.
     #[error("limit '{0}' is no decimal number")]
     NotDecimal(String),
-    /// An upstream that takes nothing says so otherwise: it leaves.
+    /// The limit is zero; upstreams that accept no requests announce their shutdown instead.
     #[error("limit '{0}' is zero")]
     Zero(String),
-    /// No upstream takes so much.
-    #[error("limit '{0}' is above a million a second")]
-    Huge(String),
+    /// The limit is implausibly high.
+    #[error("limit '{0}' exceeds 1,000,000 requests/s")]
+    TooLarge(String),
 }
 
-/// Reads the limit that an answer names, in requests a second; `None` if it names none.
+/// Reads the advertised limit in requests per second, if there is one.
 ///
 /// # Errors
-/// Returns a [`LimitFault`] if what it names can't be taken.
-pub fn read(h: &HeaderMap, name: &HeaderName) -> Result<Option<f64>, LimitFault> {
+/// Returns a [`LimitFault`] if the value is invalid.
+pub fn read(h: &HeaderMap, name: &HeaderName) -> Result<Option<f64>, InvalidLimit> {
     let mut all = h.get_all(name).iter();
     let Some(one) = all.next() else { return Ok(None) };
     let others = all.count();
     if others > 0 {
-        return Err(LimitFault::Several(others + 1));
+        return Err(InvalidLimit::Multiple(others + 1));
     }
-    decimal(&text(one)).map(Some)
+    parse_decimal(&text(one)).map(Some)
 }
 
-fn decimal(text: &str) -> Result<f64, LimitFault> {
+fn parse_decimal(text: &str) -> Result<f64, InvalidLimit> {
     let is_digits = |part: &str| !part.is_empty() && part.bytes().all(|b| b.is_ascii_digit());
     let is_decimal = match text.split_once('.') {
         Some((whole, fraction)) => is_digits(whole) && is_digits(fraction),
@@ -45,9 +45,9 @@
     };
     let rate = text.parse::<f64>().ok().filter(|_| is_decimal);
     match rate {
-        None => Err(LimitFault::NotDecimal(shown(text))),
-        Some(0.0) => Err(LimitFault::Zero(shown(text))),
-        Some(rate) if rate > MOST_RATE => Err(LimitFault::Huge(shown(text))),
+        None => Err(InvalidLimit::NotDecimal(excerpt(text))),
+        Some(0.0) => Err(InvalidLimit::Zero(excerpt(text))),
+        Some(rate) if rate > MAX_RATE => Err(InvalidLimit::TooLarge(excerpt(text))),
         Some(rate) => Ok(rate),
     }
 }
--- a/crates/honeypulley_proxy/src/race.rs
+++ b/crates/honeypulley_proxy/src/race.rs
@@ -1,4 +1,4 @@
-//! The attempts of one request: first, retry, hedge, and the deadline over all.
+//! Runs the attempts of a request: the first one, retries and hedges, within its deadline.
 
 use crate::answer::OwnAnswer;
 use crate::attempt::{Answer, AttemptGuard, Destination, Failure, Outgoing, send};
@@ -9,125 +9,125 @@
 use honeypulley_policy::balance::Resend;
 use honeypulley_policy::chooser::Ask;
 use honeypulley_policy::collector::NameId;
-use honeypulley_policy::quarantine::{End, Standing};
+use honeypulley_policy::quarantine::{End, Restriction};
 use honeypulley_policy::router::{AttemptKey, Refusal, UpstreamKey};
 use honeypulley_policy::time::Time;
 use http::StatusCode;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Most sends of one request beyond those that may have run.
-const MAX_UNRUN: usize = 3;
-/// `Retry-After` of an unknown outcome.
-const UNKNOWN_WAIT: Duration = Duration::from_secs(1);
-/// `Retry-After` where every upstream tried has proven that it did not run the request.
-const UNRUN_WAIT: Duration = Duration::from_millis(250);
+/// Maximum number of attempts that did not run, in addition to those that may have.
+const MAX_NOT_RUN: usize = 3;
+/// `Retry-After` if the request may have been run.
+const UNKNOWN_RETRY_AFTER: Duration = Duration::from_secs(1);
+/// `Retry-After` if no upstream has run the request.
+const NOT_RUN_RETRY_AFTER: Duration = Duration::from_millis(250);
 
-/// What is said of an attempt whose upstream started again meanwhile.
+/// Failure message of an attempt whose upstream has restarted.
 const RESTARTED: &str = "its upstream has started again";
 
-/// One request on its way.
+/// A request in flight, with all of its attempts.
 #[derive(Debug)]
 pub struct Race {
     /// State of the serving path.
     pub gate: Arc<Gate>,
-    /// Where it goes and how it may be treated.
+    /// Result of routing.
     pub routed: Routed,
-    /// The request's id, for logs.
+    /// Request ID, for logs.
     pub id: String,
-    /// What is sent.
+    /// Request to be sent.
     pub out: Arc<Outgoing>,
-    /// Body.
+    /// Request body.
     pub source: Source,
-    /// When it must be answered, if route or caller say.
+    /// Deadline for the answer, if the route or the caller sets one.
     pub deadline: Option<Time>,
 }
 
 type Running = FuturesUnordered<BoxFuture<'static, Result<Answer, (UpstreamKey, Failure)>>>;
 
-/// An attempt that was sent, and when.
+/// An attempt in flight.
 #[derive(Clone, Debug)]
-struct OpenAttempt {
+struct InFlight {
     key: AttemptKey,
     upstream: UpstreamKey,
-    /// The upstream's name, which may not be known any more.
+    /// Name of the upstream, which is stored here because the policy may have removed it.
     name: NameId,
     began: Time,
-    /// Breaks it off.
+    /// Cancels the attempt.
     abort: AbortHandle,
 }
 
-/// What the attempts so far have shown.
+/// Results of the attempts so far.
 #[derive(Debug, Default)]
-struct Tally {
-    tried: Vec<UpstreamKey>,
-    /// Sends that were proven not to have run.
-    unrun: usize,
-    open: Vec<OpenAttempt>,
-    unknown: Option<String>,
-    last: String,
-    /// An upstream's failure answer, to be passed on if nothing better comes.
+struct Progress {
+    attempted: Vec<UpstreamKey>,
+    /// Number of attempts that did not run.
+    not_run: usize,
+    in_flight: Vec<InFlight>,
+    unknown_reason: Option<String>,
+    last_reason: String,
+    /// Failure answer of an upstream, to be forwarded if no other attempt succeeds.
     failure: Option<Answer>,
-    /// `Retry-After` of the last refused send.
-    wait: Option<Duration>,
+    /// `Retry-After` of the last attempt that the policy refused.
+    retry_after: Option<Duration>,
 }
 
-impl Tally {
-    /// Returns how many upstreams may have run the request.
-    const fn ran(&self) -> usize {
-        self.tried.len() - self.unrun
+impl Progress {
+    /// Returns the number of upstreams that may have run the request.
+    const fn maybe_ran(&self) -> usize {
+        self.attempted.len() - self.not_run
     }
 }
 
 impl Race {
-    /// Runs attempts until one answers, none is left, or the deadline passes.
+    /// Runs attempts until one is answered, none is left, or the deadline passes.
     ///
     /// # Errors
-    /// Returns our own answer, to be given at once.
+    /// Returns the proxy's own answer if there is none from an upstream.
     pub async fn run(mut self) -> Result<Answer, OwnAnswer> {
-        let (mut running, mut tally) = (Running::new(), Tally::default());
-        self.start(&mut running, &mut tally, "first").map_err(OwnAnswer::refusal)?;
+        let (mut running, mut progress) = (Running::new(), Progress::default());
+        self.start(&mut running, &mut progress, "first").map_err(OwnAnswer::refusal)?;
         loop {
-            let look_at = self.next_look(&tally);
+            let check_at = self.next_check(&progress);
             let ended = tokio::select! {
                 biased;
                 Some(ended) = running.next() => ended,
-                () = self.at(self.deadline) => return self.out_of_time(tally),
-                () = self.at(look_at) => {
-                    // Timers do not count a suspension of the machine.
+                () = self.sleep_until(self.deadline) => return self.at_deadline(progress),
+                () = self.sleep_until(check_at) => {
+                    // Timers don't advance while the machine is suspended.
                     if self.left().is_some_and(|left| left.is_zero()) {
-                        return self.out_of_time(tally);
+                        return self.at_deadline(progress);
                     }
-                    self.look(&mut running, &mut tally);
+                    self.check(&mut running, &mut progress);
                     continue;
                 }
             };
             let (upstream, failure) = match ended {
                 Ok(answer) if answer.head.status.is_server_error() => {
-                    self.log_failure_answer(&answer);
-                    tally.open.retain(|a| a.upstream != answer.guard.upstream);
-                    // The upstream's own failure answer; it is passed on if no
-                    // other attempt is open or can be made.
-                    let again = self.should_retry(&mut tally)
-                        && self.start(&mut running, &mut tally, "retry").is_ok();
+                    self.log_server_error(&answer);
+                    progress.in_flight.retain(|a| a.upstream != answer.guard.upstream);
+                    // The upstream's failure answer is forwarded if no other attempt is in
+                    // flight or allowed.
+                    let again = self.should_retry(&mut progress)
+                        && self.start(&mut running, &mut progress, "retry").is_ok();
                     if !again && running.is_empty() {
                         return Ok(answer);
                     }
-                    tally.failure = Some(answer);
+                    progress.failure = Some(answer);
                     continue;
                 }
                 Ok(answer) => return Ok(answer),
-                Err(failed) => failed,
+                Err(failure) => failure,
             };
-            tally.open.retain(|a| a.upstream != upstream);
-            self.book(upstream, &failure, &mut tally);
+            progress.in_flight.retain(|a| a.upstream != upstream);
+            self.record_failure(upstream, &failure, &mut progress);
             if !running.is_empty() {
                 continue;
             }
-            if !self.may_repeat(&failure, &mut tally)
-                || self.start(&mut running, &mut tally, "retry").is_err()
+            if !self.should_retry_after(&failure, &mut progress)
+                || self.start(&mut running, &mut progress, "retry").is_err()
             {
-                return tally.failure.take().ok_or_else(|| self.given_up(&tally));
+                return progress.failure.take().ok_or_else(|| self.exhausted(&progress));
             }
         }
     }
@@ -136,29 +136,31 @@
     fn start(
         &mut self,
         running: &mut Running,
-        tally: &mut Tally,
+        progress: &mut Progress,
         kind: &str,
     ) -> Result<(), Refusal> {
         let (version, service) = (self.routed.version, self.routed.service.as_str());
         let mut policy = self.gate.chooser.lock();
         let now = self.gate.now();
-        // The last send allowed can't be made good by another.
-        let is_last = tally.ran() + 1 >= self.routed.attempts;
+        // The last allowed attempt can't be repeated.
+        let is_last = progress.maybe_ran() + 1 >= self.routed.attempts;
         let left = self.left();
         let repeatable = self.routed.ask.repeatable && !is_last;
         let ask = Ask { repeatable, left, ..self.routed.ask };
-        let pick = match policy.pick(&ask, &tally.tried, now) {
+        let pick = match policy.pick(&ask, &progress.attempted, now) {
             Ok(p) => p,
             Err(r) => {
                 let expected = policy.expected(&ask, now);
                 drop(policy);
                 self.log_refusal(kind, r, expected);
-                tally.wait = Some(r.retry_after);
+                progress.retry_after = Some(r.retry_after);
                 return Err(r);
             }
         };
-        let place = policy.place(pick.upstream).expect("just picked");
-        let to = Destination { name: place.name.to_owned(), addr: place.addr.to_owned() };
+        let location = policy
+            .place(pick.upstream)
+            .expect("the policy knows an upstream that it has just picked");
+        let to = Destination { name: location.name.to_owned(), addr: location.addr.to_owned() };
         let known = policy.inputs(pick.upstream, now);
         drop(policy);
         self.gate.count_for("attempts", &[("service", service), ("kind", kind)]);
@@ -175,95 +177,100 @@
             "route: {kind} sent to {}", to.name
         );
         let guard = AttemptGuard::new(&self.gate, pick, self.out.same);
-        tally.tried.push(pick.upstream);
-        let (abort, registration) = AbortHandle::new_pair();
-        tally.open.push(OpenAttempt {
+        progress.attempted.push(pick.upstream);
+        let (abort, abort_registration) = AbortHandle::new_pair();
+        progress.in_flight.push(InFlight {
             key: pick.attempt,
             upstream: pick.upstream,
             name: NameId::of(&to.name),
             began: now,
             abort,
         });
-        let body = self.source.take().expect("checked before each attempt");
+        let body =
+            self.source.take().expect("availability of the body is checked before each attempt");
         let attempt = send(Arc::clone(&self.gate), guard, to, Arc::clone(&self.out), body, left);
         let upstream = pick.upstream;
         running.push(Box::pin(async move {
-            let done = Abortable::new(attempt, registration).await;
+            let done = Abortable::new(attempt, abort_registration).await;
             done.unwrap_or_else(|_| Err((upstream, Failure::Unknown { why: RESTARTED.to_owned() })))
         }));
         Ok(())
     }
 
-    /// Returns when the attempts are to be looked at again.
-    fn next_look(&self, tally: &Tally) -> Option<Time> {
+    /// Returns the time of the next check of the attempts in flight.
+    fn next_check(&self, progress: &Progress) -> Option<Time> {
         let policy = self.gate.chooser.lock();
         let now = self.gate.now();
-        let next = |a: &OpenAttempt| now + policy.look_after(&self.routed.ask, now.since(a.began));
-        tally.open.iter().map(next).min()
+        let next = |a: &InFlight| now + policy.look_after(&self.routed.ask, now.since(a.began));
+        progress.in_flight.iter().map(next).min()
     }
 
-    /// Reports attempts in flight to the policy and sends a hedge if that is worthwhile.
-    fn look(&mut self, running: &mut Running, tally: &mut Tally) {
+    /// Reports attempts in flight to the policy and sends a hedge if advised.
+    fn check(&mut self, running: &mut Running, progress: &mut Progress) {
         let now = self.gate.now();
-        self.end_lost(tally);
+        self.cancel_lost(progress);
         let stuck = {
             let mut policy = self.gate.chooser.lock();
-            tally.open.iter().for_each(|a| policy.still_open(a.key, now));
-            let newest = tally.open.last();
+            progress.in_flight.iter().for_each(|a| policy.still_open(a.key, now));
+            let newest = progress.in_flight.last();
             newest.and_then(|a| policy.hedge(&self.routed.ask, a.key, now))
         };
         let Some(stuck) = stuck else { return };
-        if self.standing() == Standing::Clear
-            && self.may_send_again(tally)
-            && self.spend(Resend::Overdue { stuck })
+        if self.restriction() == Restriction::Clear
+            && self.can_repeat(progress)
+            && self.spend_retry(Resend::Overdue { stuck })
         {
             self.gate.count("attempts.hedged");
-            // Finding no other upstream is no loss: the first attempt still runs.
-            let _ = self.start(running, tally, "hedge");
+            // If there is no other upstream, the first attempt simply continues.
+            let _ = self.start(running, progress, "hedge");
         }
     }
 
-    /// Breaks off the attempts whose upstreams have started again: they are not answered.
+    /// Cancels the attempts whose upstreams have restarted, since they will not be answered.
     ///
-    /// Behind a cut no packet says so, and each would wait for its deadline.
-    fn end_lost(&self, tally: &Tally) {
+    /// During a network partition no packet reports the closed connection, so these attempts
+    /// would otherwise wait until the deadline.
+    fn cancel_lost(&self, progress: &Progress) {
         let policy = self.gate.chooser.lock();
-        let lost: Vec<&OpenAttempt> =
-            tally.open.iter().filter(|a| policy.has_restarted(a.upstream)).collect();
+        let lost: Vec<&InFlight> =
+            progress.in_flight.iter().filter(|a| policy.has_restarted(a.upstream)).collect();
         drop(policy);
         let now = self.gate.now();
         for a in lost {
             let end = End { upstream: a.name, began: a.began, ended: now };
-            self.gate.suspects.ended(self.out.same, end, now);
+            self.gate.suspects.record_crash(self.out.same, end, now);
             a.abort.abort();
         }
     }
 
-    /// Returns whether a request that got a failure answer should be tried elsewhere.
-    fn should_retry(&self, tally: &mut Tally) -> bool {
-        self.may_send_again(tally) && self.spend(Resend::Failed)
+    /// Returns whether a request with a failure answer should be retried on another upstream.
+    fn should_retry(&self, progress: &mut Progress) -> bool {
+        self.can_repeat(progress) && self.spend_retry(Resend::Failed)
     }
 
-    /// Returns whether a repeatable request may be sent once more, and still in time.
-    fn may_send_again(&self, tally: &mut Tally) -> bool {
-        let may_repeat = self.routed.ask.repeatable && self.standing() < Standing::Single;
-        may_repeat && self.has_retry(tally) && self.is_in_time() && self.has_upstream(tally)
+    /// Returns whether the request is repeatable and another attempt can finish in time.
+    fn can_repeat(&self, progress: &mut Progress) -> bool {
+        let may_repeat = self.routed.ask.repeatable && self.restriction() < Restriction::NoRetry;
+        may_repeat
+            && self.has_attempts_left(progress)
+            && self.is_in_time()
+            && self.has_upstream(progress)
     }
 
-    /// Returns whether another upstream may be sent the request now.
-    fn has_upstream(&self, tally: &mut Tally) -> bool {
+    /// Returns whether another upstream is available for the request.
+    fn has_upstream(&self, progress: &mut Progress) -> bool {
         let (ask, now) = (Ask { left: self.left(), ..self.routed.ask }, self.gate.now());
-        let refused = self.gate.chooser.lock().may_send(&ask, &tally.tried, now).err();
+        let refused = self.gate.chooser.lock().may_send(&ask, &progress.attempted, now).err();
         if let Some(r) = refused {
             self.log_refusal("retry", r, None);
-            tally.wait = Some(r.retry_after);
+            progress.retry_after = Some(r.retry_after);
         }
         refused.is_none()
     }
 
-    /// Returns how the request may be treated, by the upstreams that ended under it.
-    fn standing(&self) -> Standing {
-        self.gate.suspects.standing(self.out.same, self.gate.now())
+    /// Returns the restriction that the quarantine sets on the request.
+    fn restriction(&self) -> Restriction {
+        self.gate.suspects.restriction(self.out.same, self.gate.now())
     }
 
     fn is_in_time(&self) -> bool {
@@ -271,33 +278,35 @@
         self.gate.chooser.lock().is_in_time(&ask)
     }
 
-    /// Returns the time until the request must be answered.
+    /// Returns the time left until the deadline.
     fn left(&self) -> Option<Duration> {
         self.deadline.map(|d| d.since(self.gate.now()))
     }
 
-    fn may_repeat(&self, failure: &Failure, tally: &mut Tally) -> bool {
-        if !self.has_retry(tally) || !self.is_in_time() || !self.has_upstream(tally) {
+    fn should_retry_after(&self, failure: &Failure, progress: &mut Progress) -> bool {
+        if !self.has_attempts_left(progress) || !self.is_in_time() || !self.has_upstream(progress) {
             return false;
         }
-        let standing = self.standing();
-        let is_single = standing >= Standing::Single;
-        let safe = self.routed.ask.repeatable || tally.unknown.is_none();
+        let restriction = self.restriction();
+        let is_limited = restriction >= Restriction::NoRetry;
+        let is_safe = self.routed.ask.repeatable || progress.unknown_reason.is_none();
         match failure {
-            // Nothing reached an upstream, so this is no retry to it.
-            Failure::NotSent { .. } => safe && !matches!(standing, Standing::Held { .. }),
-            Failure::NotRun { .. } => !is_single && safe && self.spend(Resend::Failed),
+            // Nothing was sent, so another attempt does not count as a retry.
+            Failure::NotSent { .. } => is_safe && !matches!(restriction, Restriction::Held { .. }),
+            Failure::NotRun { .. } => !is_limited && is_safe && self.spend_retry(Resend::Failed),
             Failure::Unknown { .. } => {
-                !is_single && self.routed.ask.repeatable && self.spend(Resend::Failed)
+                !is_limited && self.routed.ask.repeatable && self.spend_retry(Resend::Failed)
             }
         }
     }
 
-    fn has_retry(&self, tally: &Tally) -> bool {
-        tally.ran() < self.routed.attempts && tally.unrun <= MAX_UNRUN && self.source.is_there()
+    fn has_attempts_left(&self, progress: &Progress) -> bool {
+        progress.maybe_ran() < self.routed.attempts
+            && progress.not_run <= MAX_NOT_RUN
+            && self.source.is_available()
     }
 
-    fn spend(&self, why: Resend) -> bool {
+    fn spend_retry(&self, why: Resend) -> bool {
         let now = self.gate.now();
         let mut policy = self.gate.chooser.lock();
         let spent = policy.spend_retry(self.routed.ask.service, why, now);
@@ -325,7 +334,7 @@
         );
     }
 
-    fn log_failure_answer(&self, answer: &Answer) {
+    fn log_server_error(&self, answer: &Answer) {
         let policy = self.gate.chooser.lock();
         let upstream = policy.place(answer.guard.upstream).map_or("gone", |p| p.name);
         log::warn!(
@@ -335,7 +344,7 @@
         );
     }
 
-    fn book(&self, upstream: UpstreamKey, failure: &Failure, tally: &mut Tally) {
+    fn record_failure(&self, upstream: UpstreamKey, failure: &Failure, progress: &mut Progress) {
         let policy = self.gate.chooser.lock();
         let name = policy.place(upstream).map_or("gone", |p| p.name);
         let (request, service) = (self.id.as_str(), self.routed.service.as_str());
@@ -348,54 +357,58 @@
         match failure {
             Failure::NotSent { why } => {
                 log::warn!(request, service, upstream = name; "attempt: not sent to {name}: {why}");
-                tally.unrun += 1;
-                tally.last.clone_from(why);
+                progress.not_run += 1;
+                progress.last_reason.clone_from(why);
             }
             Failure::NotRun { why } => {
-                log::warn!(request, service, upstream = name; "attempt: {name} did not run it: {why}");
-                tally.unrun += 1;
-                tally.last.clone_from(why);
+                log::warn!(request, service, upstream = name; "attempt: {name} did not run the request: {why}");
+                progress.not_run += 1;
+                progress.last_reason.clone_from(why);
             }
             Failure::Unknown { why } => {
                 log::warn!(
                     request, service, upstream = name;
                     "attempt: {name} failed, outcome unknown: {why}"
                 );
-                tally.unknown = Some(why.clone());
+                progress.unknown_reason = Some(why.clone());
             }
         }
     }
 
-    /// Returns the answer when no attempt is left.
-    fn given_up(&self, tally: &Tally) -> OwnAnswer {
-        if let Some(why) = &tally.unknown {
-            return OwnAnswer::unknown(StatusCode::BAD_GATEWAY, UNKNOWN_WAIT, why.clone());
+    /// Returns the answer if no attempt is left.
+    fn exhausted(&self, progress: &Progress) -> OwnAnswer {
+        if let Some(why) = &progress.unknown_reason {
+            return OwnAnswer::unknown(StatusCode::BAD_GATEWAY, UNKNOWN_RETRY_AFTER, why.clone());
         }
-        let usual = || UNRUN_WAIT.mul_f64(1.0 + fastrand::f64() / 2.0);
-        let wait = tally.wait.unwrap_or_else(usual);
-        OwnAnswer::not_run(StatusCode::SERVICE_UNAVAILABLE, Some(wait), tally.last.clone())
+        let default_wait = || NOT_RUN_RETRY_AFTER.mul_f64(1.0 + fastrand::f64() / 2.0);
+        let wait = progress.retry_after.unwrap_or_else(default_wait);
+        OwnAnswer::not_run(
+            StatusCode::SERVICE_UNAVAILABLE,
+            Some(wait),
+            progress.last_reason.clone(),
+        )
     }
 
-    /// Returns what there is at the deadline: an upstream's failure, or our own.
-    fn out_of_time(&self, mut tally: Tally) -> Result<Answer, OwnAnswer> {
-        let late = self.late(&tally);
-        tally.failure.take().ok_or(late)
+    /// Returns the result at the deadline: an upstream's failure answer, or the proxy's own.
+    fn at_deadline(&self, mut progress: Progress) -> Result<Answer, OwnAnswer> {
+        let late = self.deadline_exceeded(&progress);
+        progress.failure.take().ok_or(late)
     }
 
-    fn late(&self, tally: &Tally) -> OwnAnswer {
-        // Whatever still runs is cancelled by the drop of its future.
+    fn deadline_exceeded(&self, progress: &Progress) -> OwnAnswer {
+        // Attempts in flight are cancelled when their futures are dropped.
         self.gate.count("requests.late");
-        let n = tally.tried.len();
+        let n = progress.attempted.len();
         let why = format!("the deadline passed with {n} attempt(s) open");
         log::warn!(
             request = self.id.as_str(), service = self.routed.service.as_str(), attempts = n;
             "route: given up at its deadline"
         );
-        OwnAnswer::unknown(StatusCode::GATEWAY_TIMEOUT, UNKNOWN_WAIT, why)
+        OwnAnswer::unknown(StatusCode::GATEWAY_TIMEOUT, UNKNOWN_RETRY_AFTER, why)
     }
 
-    /// Waits until a point, or forever if there is none.
-    async fn at(&self, t: Option<Time>) {
+    /// Waits until a point in time, or forever if there is none.
+    async fn sleep_until(&self, t: Option<Time>) {
         match t {
             Some(t) => tokio::time::sleep(t.since(self.gate.now())).await,
             None => std::future::pending().await,
--- a/crates/honeypulley_proxy/src/shared.rs
+++ b/crates/honeypulley_proxy/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the serving thread owns, and how other duties feed it.
+//! State of the serving thread, and the queues through which other duties update it.
 
 use crate::answer::OwnAnswer;
 use crate::callers::CallerLimits;
@@ -6,7 +6,7 @@
 use crate::fingerprint::Fingerprinter;
 use crate::gate::{Belongs, Gate, Reuse, Routed, Routes, Wanted, client};
 use crate::headers;
-use crate::suspects::OwnSuspects;
+use crate::suspects::LocalSuspects;
 use arc_swap::{ArcSwap, ArcSwapOption};
 use async_trait::async_trait;
 use cadence::{Gauged, StatsdClient};
@@ -28,17 +28,17 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// Time between two looks for stalls and news.
+/// Interval at which updates are applied and attempts are checked for stalls.
 const TICK: Duration = Duration::from_millis(10);
 
-/// Most attempts for one request.
+/// Maximum number of attempts for a request.
 const MAX_ATTEMPTS: usize = 3;
-/// `Retry-After` before this box is set up.
-const NOT_YET_WAIT: Duration = Duration::from_secs(1);
-/// Ticks between two renewals of what operators see.
-const STATUS_TURNS: u64 = 25;
+/// `Retry-After` while this box is starting.
+const NOT_READY_RETRY_AFTER: Duration = Duration::from_secs(1);
+/// Ticks between two updates of the status for operators.
+const STATUS_TICKS: u64 = 25;
 
-/// The upstreams and the number of boxes in the lagging list.
+/// The upstreams and the number of boxes, from a list that may lag behind.
 #[derive(Clone, Debug)]
 pub struct Members {
     /// Upstreams.
@@ -47,16 +47,16 @@
     pub boxes: usize,
 }
 
-/// Rings into and out of the serving thread.
+/// Ring buffers into and out of the serving thread.
 #[derive(Clone, Debug)]
 pub struct Feed {
-    /// Bundles that came in force; each replaces the one before.
+    /// Bundles put in force; only the newest one counts.
     pub bundles: Ring<Arc<InForce>>,
-    /// Lists; each replaces the one before.
+    /// Lists of members; only the newest one counts.
     pub members: Ring<Members>,
-    /// Permits; each replaces the one before.
+    /// Permits; only the newest view counts.
     pub permits: Ring<PermitView>,
-    /// Confirmations of the permits; each replaces the one before.
+    /// Times at which the permits were confirmed; only the newest one counts.
     pub confirms: Ring<Time>,
     /// Verdicts of collectors.
     pub verdicts: Ring<Verdict>,
@@ -77,10 +77,10 @@
     }
 }
 
-/// Keeps the serving path's state up to date, on the serving thread.
+/// Keeps the state of the serving path up to date, on the serving thread.
 #[async_trait]
 pub trait Feeder: fmt::Debug + Send + Sync {
-    /// Applies news from the other duties, forever.
+    /// Applies updates from the other duties, forever.
     async fn feed(&self);
 }
 
@@ -90,22 +90,22 @@
     in_force: ArcSwapOption<InForce>,
     router: Arc<Mutex<Router>>,
     callers: Mutex<CallerLimits>,
-    /// Live boxes, among which limits are shared.
+    /// Number of live boxes that share the callers' limits.
     boxes: AtomicUsize,
     dialect: Dialect,
 }
 
-/// State of the serving thread, by the product's own bundles and lists.
+/// State of the serving thread, configured by the product's own bundles and lists.
 pub struct Shared {
-    /// The serving path.
+    /// State of the serving path.
     pub gate: Arc<Gate>,
-    /// Routing state; the serving path holds it as its policy.
+    /// Routing state, which is also the policy of the serving path.
     pub router: Arc<Mutex<Router>>,
-    /// Rings to the other duties.
+    /// Ring buffers to the other duties.
     pub feed: Feed,
-    /// Set once upstreams were taken from the list.
+    /// Set once a list with upstreams was applied.
     pub listed: AtomicBool,
-    /// State of every upstream, renewed four times a second for operators.
+    /// Status of all upstreams for operators, updated four times a second.
     pub rows: ArcSwap<Vec<UpstreamStatus>>,
     routes: Arc<BundleRoutes>,
 }
@@ -117,11 +117,12 @@
 }
 
 impl Shared {
-    /// Builds the state around a router; `source` is where connections to
-    /// upstreams come from, if not the usual address.
+    /// Creates the state with a router.
+    ///
+    /// Connections to upstreams are bound to the local address `source`, if it is given.
     ///
     /// # Errors
-    /// Returns an error if the HTTP client can't be set up.
+    /// Returns an error if the HTTP client can't be built.
     pub fn new(
         router: Router,
         feed: Feed,
@@ -144,7 +145,7 @@
             routes: Arc::<BundleRoutes>::clone(&routes),
             dialect,
             fingerprints,
-            suspects: Arc::<OwnSuspects>::default(),
+            suspects: Arc::<LocalSuspects>::default(),
             client: client(source, Reuse::Pooled)?,
             clock,
             metrics,
@@ -161,7 +162,7 @@
         })
     }
 
-    /// Returns the time now.
+    /// Returns the current time.
     #[must_use]
     pub fn now(&self) -> Time {
         self.gate.now()
@@ -173,25 +174,25 @@
         self.routes.in_force.load_full()
     }
 
-    /// Returns the version in force, zero if there is none.
+    /// Returns the version in force, or zero if there is none.
     #[must_use]
     pub fn version(&self) -> Version {
         self.routes.in_force.load().as_ref().map_or(Version(0), |f| f.head.version)
     }
 
-    /// Applies news and looks for stalls, forever.
-    pub async fn keep_ticking(&self) {
+    /// Applies updates and checks for stalls at regular intervals, forever.
+    pub async fn run(&self) {
         let mut tick = tokio::time::interval(TICK);
-        let mut turns = 0u64;
-        // Members are needed again when a bundle names new services.
-        let mut last_members = None;
+        let mut ticks = 0u64;
+        // The members are applied again when a bundle defines new services.
+        let mut members = None;
         loop {
             tick.tick().await;
-            self.take_news(&mut last_members);
+            self.apply_updates(&mut members);
             let reports = self.router.lock().tick(self.now());
             reports.into_iter().for_each(|r| self.feed.reports.push(r));
-            turns += 1;
-            if turns.is_multiple_of(STATUS_TURNS) {
+            ticks += 1;
+            if ticks.is_multiple_of(STATUS_TICKS) {
                 let rows = self.router.lock().status(self.now());
                 self.rows.store(Arc::new(rows));
                 self.emit_gauges();
@@ -199,12 +200,12 @@
         }
     }
 
-    fn take_news(&self, last: &mut Option<Members>) {
+    fn apply_updates(&self, last: &mut Option<Members>) {
         let mut router = self.router.lock();
         let now = self.now();
         let mut listed = false;
         while let Some(f) = self.feed.bundles.pop() {
-            // Two duties may have pushed two versions the other way round.
+            // Two duties may push versions in the wrong order.
             if f.head.version <= self.version() {
                 continue;
             }
@@ -221,13 +222,13 @@
         if let (true, Some(m)) = (listed, last.as_ref()) {
             router.set_members(&m.upstreams, m.boxes, now);
             self.routes.boxes.store(m.boxes.max(1), Ordering::Relaxed);
-            // A list that lags behind a start may be empty yet.
+            // The first list after a start may still be empty.
             if !m.upstreams.is_empty() {
                 self.listed.store(true, Ordering::Relaxed);
             }
         }
-        // Confirmations first: one that is in the ring by now is of permits that
-        // are in theirs, so no older view is taken for confirmed.
+        // Confirmations are read first. Their permits are then already in the other ring, so a
+        // confirmation is never applied to an older view.
         let confirmed = std::iter::from_fn(|| self.feed.confirms.pop()).last();
         while let Some(view) = self.feed.permits.pop() {
             router.set_permits(&view);
@@ -239,7 +240,7 @@
             if let Some(name) = router.set_verdict(&v, now) {
                 log::info!(
                     upstream = name, witnesses = v.witnesses, hold_ms = v.hold.as_millis() as u64;
-                    "verdict: {name} is {:?}, {} boxes bear witness", v.judgement, v.witnesses
+                    "verdict: {name} is {:?}, reported by {} boxes", v.judgement, v.witnesses
                 );
             }
         }
@@ -256,14 +257,14 @@
 #[async_trait]
 impl Feeder for Shared {
     async fn feed(&self) {
-        self.keep_ticking().await;
+        self.run().await;
     }
 }
 
 impl Routes for BundleRoutes {
     fn route(&self, wanted: &Wanted<'_>, now: Time) -> Result<Routed, OwnAnswer> {
         let Some(f) = self.in_force.load_full() else {
-            return Err(not_yet("no bundle is in force on this box yet".to_owned()));
+            return Err(not_ready("no bundle is in force on this box yet".to_owned()));
         };
         let (host, path, bundle) = (wanted.host, wanted.path, f.head.version.0);
         let Some(name) = f.bundle.route(host, path) else {
@@ -274,7 +275,7 @@
         self.limit_caller(wanted.headers, &f, now)?;
         let mut router = self.router.lock();
         let Some(service) = router.service(name) else {
-            return Err(not_yet(format!("service {name} is not set up on this box yet")));
+            return Err(not_ready(format!("service {name} is not set up on this box yet")));
         };
         if let Err(r) = router.admit(service, now) {
             log::info!(service = name, bundle; "route: refused, {}", r.kind);
@@ -308,8 +309,8 @@
         let Some(caller) = headers::text(h, &self.dialect.caller) else { return Ok(()) };
         let Some(rate) = f.bundle.caller_rate(caller) else { return Ok(()) };
         let share = rate / self.boxes.load(Ordering::Relaxed) as f64;
-        let taken = self.callers.lock().take(caller, share, now);
-        taken.map_err(|wait| {
+        let result = self.callers.lock().take(caller, share, now);
+        result.map_err(|wait| {
             log::info!(caller = caller, bundle = f.head.version.0; "route: refused, the caller's rate is used up");
             let retry_after = wait.mul_f64(1.0 + fastrand::f64() / 2.0);
             OwnAnswer::refusal(Refusal { kind: RefusalKind::CallerRate, retry_after })
@@ -317,8 +318,8 @@
     }
 }
 
-fn not_yet(why: String) -> OwnAnswer {
-    OwnAnswer::not_run(StatusCode::SERVICE_UNAVAILABLE, Some(NOT_YET_WAIT), why)
+fn not_ready(why: String) -> OwnAnswer {
+    OwnAnswer::not_run(StatusCode::SERVICE_UNAVAILABLE, Some(NOT_READY_RETRY_AFTER), why)
 }
 
 const fn is_safe(m: &Method) -> bool {
--- a/crates/honeypulley_proxy/src/signals/record.rs
+++ b/crates/honeypulley_proxy/src/signals/record.rs
@@ -1,6 +1,6 @@
-//! Hands the signals of an answer to the policy, and logs what changed.
+//! Reports the signals of an answer to the policy and logs changes.
 
-use super::SignalFault;
+use super::InvalidSignal;
 use crate::dialect::Dialect;
 use crate::gate::Gate;
 use honeypulley_policy::chooser::Chooser;
@@ -10,15 +10,15 @@
 use http::{HeaderMap, StatusCode};
 use std::time::Duration;
 
-/// Backoff from which on an operator should look into it.
-const LONG_BACKOFF: Duration = Duration::from_secs(60);
+/// Shortest backoff that is logged as a warning, since operators should investigate it.
+const WARN_BACKOFF: Duration = Duration::from_secs(60);
 
-/// The head of an answer that is known to be the asked upstream's own.
+/// Head of an answer that is known to come from the intended upstream instance.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ReceivedHead<'a> {
     /// Name of the upstream.
     pub(crate) from: &'a str,
-    /// The attempt that it answers.
+    /// Attempt that it answers.
     pub(crate) attempt: AttemptKey,
     /// Status.
     pub(crate) status: StatusCode,
@@ -27,8 +27,8 @@
 }
 
 impl ReceivedHead<'_> {
-    /// Reads all signals; those that can't be read are left out and returned as faults.
-    fn read(&self, d: &Dialect) -> (Signals, Vec<SignalFault>) {
+    /// Reads all signals and returns the valid ones, and errors for the others.
+    fn read(&self, d: &Dialect) -> (Signals, Vec<InvalidSignal>) {
         let mut faults = Vec::new();
         let mut signals = Signals { load: d.load(self.headers), ..Signals::default() };
         match d.limit(self.headers) {
@@ -48,20 +48,15 @@
 }
 
 /// Records the signals of an answer's head.
-pub(crate) fn record(
-    gate: &Gate,
-    policy: &mut dyn Chooser,
-    received: &ReceivedHead<'_>,
-    now: Time,
-) {
-    let upstream = received.from;
-    let (signals, faults) = received.read(&gate.dialect);
+pub(crate) fn record(gate: &Gate, policy: &mut dyn Chooser, head: &ReceivedHead<'_>, now: Time) {
+    let upstream = head.from;
+    let (signals, faults) = head.read(&gate.dialect);
     for fault in faults {
-        let is_limit = matches!(fault, SignalFault::Limit(_));
+        let is_limit = matches!(fault, InvalidSignal::Limit(_));
         gate.count(if is_limit { "limits.refused" } else { "signals.ignored" });
         log::warn!(upstream, fault:% = fault; "attempt: ignored a signal of {upstream}: {fault}");
     }
-    let changes = policy.signalled(received.attempt, &signals, now);
+    let changes = policy.signalled(head.attempt, &signals, now);
     if signals.limit.is_some() {
         gate.count("limits.named");
     }
@@ -77,7 +72,7 @@
     }
     if let Some(wait) = signals.backoff.filter(|_| changes.backoff) {
         gate.count("upstreams.backoff");
-        let level = if wait >= LONG_BACKOFF { log::Level::Warn } else { log::Level::Info };
+        let level = if wait >= WARN_BACKOFF { log::Level::Warn } else { log::Level::Info };
         log::log!(
             level, upstream, backoff_ms = wait.as_millis() as u64;
             "attempt: {upstream} asked for a backoff of {wait:?}, no requests there until then"
@@ -85,19 +80,19 @@
     }
 }
 
-/// Records what the absence of signals on a whole answer says.
+/// Withdraws the rate limit if a complete answer does not advertise one.
 ///
-/// Only a proven success lifts a rate limit: an answer that is cut, or a failure, may not be the
-/// upstream's own word on itself.
-pub(crate) fn record_whole(gate: &Gate, received: &ReceivedHead<'_>) {
+/// Only a verified success withdraws a limit. A truncated answer or a failure may have been
+/// produced by something other than the upstream.
+pub(crate) fn record_complete(gate: &Gate, head: &ReceivedHead<'_>) {
     let d = &gate.dialect;
-    let is_proven = d.proof.as_ref().is_none_or(|p| received.headers.contains_key(p));
-    let is_word = is_proven && received.status.is_success();
-    if d.limit.is_none() || !is_word || d.limit(received.headers) != Ok(None) {
+    let is_verified = d.proof.as_ref().is_none_or(|p| head.headers.contains_key(p));
+    let is_authoritative = is_verified && head.status.is_success();
+    if d.limit.is_none() || !is_authoritative || d.limit(head.headers) != Ok(None) {
         return;
     }
-    if gate.chooser.lock().limit_withdrawn(received.attempt) {
-        let upstream = received.from;
+    if gate.chooser.lock().limit_withdrawn(head.attempt) {
+        let upstream = head.from;
         log::info!(upstream; "attempt: {upstream} no longer advertises a limit");
     }
 }
--- a/crates/honeypulley_proxy/src/suspects.rs
+++ b/crates/honeypulley_proxy/src/suspects.rs
@@ -1,35 +1,37 @@
-//! What the serving path asks and tells about requests under which upstreams end.
+//! Interface between the serving path and the request quarantine.
 
-use honeypulley_policy::quarantine::{End, Fingerprint, Fingerprints, Hold, Quarantine, Standing};
+use honeypulley_policy::quarantine::{
+    End, Fingerprint, Fingerprints, Hold, Quarantine, Restriction,
+};
 use honeypulley_policy::time::Time;
 use parking_lot::Mutex;
 use std::fmt::Debug;
 
-/// Knows which requests ended upstreams.
+/// Access to the quarantine of requests that crash upstreams.
 pub trait Suspects: Debug + Send + Sync {
-    /// Changes what is known, logs the holds that are new by it and tells whoever is to know.
+    /// Applies a change, logs the holds that result from it and announces it to peers.
     fn update(&self, change: &mut dyn FnMut(&mut Quarantine));
 
-    /// Returns how a request may be treated.
-    fn standing(&self, request: Fingerprints, now: Time) -> Standing {
-        let mut standing = Standing::Clear;
-        self.update(&mut |q| standing = q.standing(request, now));
-        standing
+    /// Returns the restriction on sending a request.
+    fn restriction(&self, request: Fingerprints, now: Time) -> Restriction {
+        let mut restriction = Restriction::Clear;
+        self.update(&mut |q| restriction = q.restriction(request, now));
+        restriction
     }
 
     /// Records that an upstream crashed during a request.
-    fn ended(&self, request: Fingerprints, end: End, now: Time) {
-        self.update(&mut |q| q.ended(request, end, now));
+    fn record_crash(&self, request: Fingerprints, end: End, now: Time) {
+        self.update(&mut |q| q.record_crash(request, end, now));
     }
 
-    /// Records that a request was answered well.
-    fn served(&self, request: Fingerprints, now: Time) {
-        self.update(&mut |q| q.served(request, now));
+    /// Records that a request succeeded.
+    fn record_success(&self, request: Fingerprints, now: Time) {
+        self.update(&mut |q| q.record_success(request, now));
     }
 
     /// Records that a held request was rejected.
-    fn refused(&self, request: Fingerprints, now: Time) {
-        self.update(&mut |q| q.refused(request, now));
+    fn record_rejection(&self, request: Fingerprints, now: Time) {
+        self.update(&mut |q| q.record_rejection(request, now));
     }
 
     /// Returns the requests that are held.
@@ -39,7 +41,7 @@
         held
     }
 
-    /// Clears a request that an operator takes for harmless; returns whether it was suspected.
+    /// Clears a request on an operator's command; returns whether it was suspected.
     fn lift(&self, request: Fingerprint, now: Time) -> bool {
         let mut was_suspected = false;
         self.update(&mut |q| was_suspected = q.clear(request, now));
@@ -47,16 +49,16 @@
     }
 }
 
-/// Suspects that one box knows by itself.
+/// Quarantine of a single box without peers.
 #[derive(Debug, Default)]
-pub struct OwnSuspects(Mutex<Quarantine>);
+pub struct LocalSuspects(Mutex<Quarantine>);
 
-impl Suspects for OwnSuspects {
+impl Suspects for LocalSuspects {
     fn update(&self, change: &mut dyn FnMut(&mut Quarantine)) {
         let mut quarantine = self.0.lock();
         change(&mut quarantine);
         quarantine.take_holds().iter().for_each(log_hold);
-        // There is nobody to tell.
+        // There are no peers to send announcements to.
         drop(quarantine.take_news());
     }
 }
@@ -66,7 +68,7 @@
     let left_ms = h.left.as_millis() as u64;
     log::warn!(
         same:display = h.request, scope:debug = h.scope, ends = h.ends, trials = h.trials, left_ms;
-        "quarantine: request {} is held, this box knows of {} upstreams that ended under it",
+        "quarantine: request {} is held, this box knows of {} crashes of upstreams during it",
         h.request, h.ends
     );
 }
--- a/crates/honeypulley_proxy/src/upgrade.rs
+++ b/crates/honeypulley_proxy/src/upgrade.rs
@@ -1,4 +1,4 @@
-//! Sessions that leave HTTP behind, such as WebSocket.
+//! Sessions that switch to another protocol, such as WebSocket.
 
 use crate::attempt::{Answer, AnswerBody};
 use crate::gate::{Gate, OpenGuard};
@@ -9,11 +9,11 @@
 use salvo::prelude::Response;
 use std::sync::Arc;
 
-/// Passes the switch of protocols on and carries the session to its own end.
+/// Forwards a protocol switch and relays the session until it ends.
 ///
-/// The session is counted as open until then, since it has left the HTTP
-/// server's own graceful stop.
-pub fn carry(gate: &Arc<Gate>, caller: OnUpgrade, answer: Answer, id: String, res: &mut Response) {
+/// The session counts as open until then, because the graceful shutdown of the HTTP server does
+/// not cover it.
+pub fn relay(gate: &Arc<Gate>, caller: OnUpgrade, answer: Answer, id: String, res: &mut Response) {
     let Answer { head, body, mut guard } = answer;
     let AnswerBody::Open(response) = body else { return };
     let protocol = head.headers.get(header::UPGRADE).cloned();
@@ -33,13 +33,13 @@
             return;
         };
         let mut caller = TokioIo::new(caller);
-        let end = tokio::io::copy_bidirectional(&mut caller, &mut upstream).await;
+        let result = tokio::io::copy_bidirectional(&mut caller, &mut upstream).await;
         guard.ended(Outcome::Whole);
-        match end {
+        match result {
             Ok((up, down)) => {
-                log::info!(request = id.as_str(), up, down; "session: ended by its own parties");
+                log::info!(request = id.as_str(), up, down; "session: closed by caller or upstream");
             }
-            Err(e) => log::info!(request = id.as_str(); "session: ended: {e}"),
+            Err(e) => log::info!(request = id.as_str(); "session: closed on an error: {e}"),
         }
     });
 }
--- a/crates/honeypulley_proxy/tests/fingerprint.rs
+++ b/crates/honeypulley_proxy/tests/fingerprint.rs
@@ -1,4 +1,4 @@
-//! What tells two requests apart, and what does not.
+//! Tests which differences between requests change their fingerprints.
 
 use bytes::Bytes;
 use honeypulley_policy::quarantine::Fingerprints;
@@ -17,17 +17,17 @@
         host: "x.example",
         path: "/a?b=c",
         caller: Some(IpAddr::V4(Ipv4Addr::LOCALHOST)),
-        named: None,
+        caller_name: None,
     }
 }
 
-fn of(id: &Identity<'_>, body: &'static str) -> Fingerprints {
-    Fingerprinter::new([7; 32]).of(id, &Source::Kept(Bytes::from_static(body.as_bytes())))
+fn fingerprints(id: &Identity<'_>, body: &'static str) -> Fingerprints {
+    Fingerprinter::new([7; 32]).of(id, &Source::Buffered(Bytes::from_static(body.as_bytes())))
 }
 
 #[test]
-fn a_request_that_comes_again_has_the_same_fingerprint() {
-    assert_eq!(of(&identity(&GET), "x"), of(&identity(&GET), "x"));
+fn equal_requests_have_equal_fingerprints() {
+    assert_eq!(fingerprints(&identity(&GET), "x"), fingerprints(&identity(&GET), "x"));
 }
 
 #[rstest]
@@ -37,8 +37,11 @@
 #[case::body(identity(&GET), "xx")]
 #[case::no_body(identity(&GET), "")]
 #[case::split(Identity { host: "x.example/", path: "a?b=c", ..identity(&GET) }, "x")]
-fn another_request_has_other_fingerprints(#[case] id: Identity<'_>, #[case] body: &'static str) {
-    let (a, b) = (of(&id, body), of(&identity(&GET), "x"));
+fn different_requests_have_different_fingerprints(
+    #[case] id: Identity<'_>,
+    #[case] body: &'static str,
+) {
+    let (a, b) = (fingerprints(&id, body), fingerprints(&identity(&GET), "x"));
     assert_ne!(a.content, b.content);
     assert_ne!(a.caller, b.caller);
 }
@@ -46,16 +49,16 @@
 #[rstest]
 #[case::address(Identity { caller: Some(IpAddr::V4(Ipv4Addr::BROADCAST)), ..identity(&GET) })]
 #[case::no_address(Identity { caller: None, ..identity(&GET) })]
-#[case::name(Identity { named: Some("shop"), ..identity(&GET) })]
-fn another_caller_shares_the_content_alone(#[case] id: Identity<'_>) {
-    let (a, b) = (of(&id, "x"), of(&identity(&GET), "x"));
+#[case::name(Identity { caller_name: Some("shop"), ..identity(&GET) })]
+fn different_callers_share_only_the_content_fingerprint(#[case] id: Identity<'_>) {
+    let (a, b) = (fingerprints(&id, "x"), fingerprints(&identity(&GET), "x"));
     assert_eq!(a.content, b.content);
     assert_ne!(a.caller, b.caller);
 }
 
 #[test]
-fn a_fingerprint_can_not_be_made_without_the_key() {
-    let body = Source::Kept(Bytes::new());
+fn fingerprints_depend_on_the_key() {
+    let body = Source::Buffered(Bytes::new());
     let id = identity(&GET);
     assert_ne!(
         Fingerprinter::new([7; 32]).of(&id, &body),
--- a/crates/honeypulley_proxy/tests/order.rs
+++ b/crates/honeypulley_proxy/tests/order.rs
@@ -1,4 +1,4 @@
-//! The serving thread never goes back, whatever order its ring holds.
+//! Tests that the serving thread never returns to an older bundle.
 
 use cadence::{NopMetricSink, StatsdClient};
 use honeypulley_bundle::head::{Head, Version};
@@ -17,7 +17,7 @@
     let text = format!(
         "[service s{version}]\nfloor = 1\nrepeat = reads\ndeadline = 2s\n[routes]\nx.example/ = s{version}\n"
     );
-    let (bundle, split) = Bundle::read("f.ini", &text).expect("fine");
+    let (bundle, split) = Bundle::read("f.ini", &text).expect("the bundle is valid");
     let manifest = split.manifest.digest();
     let signature = Signer::from_secret("alice", &[1; 32]).sign(&manifest);
     let rollout = format!("r{version}");
@@ -26,8 +26,8 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_older_bundle_behind_a_newer_one_in_the_ring_is_dropped() {
-    // Two duties took two versions and pushed them the other way round.
+async fn an_older_bundle_queued_after_a_newer_one_is_ignored() {
+    // Two duties may push two versions in the wrong order.
     let metrics = Arc::new(StatsdClient::from_sink("test", NopMetricSink));
     let router = Router::new("b", "h", 7);
     let shared = Arc::new(
@@ -39,12 +39,12 @@
             None,
             Fingerprinter::new([0; 32]),
         )
-        .expect("set up"),
+        .expect("the client can be built"),
     );
     shared.feed.bundles.push(in_force(2));
     shared.feed.bundles.push(in_force(1));
-    let ticking = shared.keep_ticking();
-    let _ = tokio::time::timeout(Duration::from_millis(50), ticking).await;
+    let running = shared.run();
+    let _ = tokio::time::timeout(Duration::from_millis(50), running).await;
     assert_eq!(shared.version(), Version(2));
     assert!(shared.router.lock().service("s2").is_some());
     assert!(shared.router.lock().service("s1").is_none());
--- a/crates/honeypulley_proxy/tests/race/budget.rs
+++ b/crates/honeypulley_proxy/tests/race/budget.rs
@@ -1,6 +1,6 @@
-//! What retries take from the retry budget.
+//! Tests the use of the retry budget by attempts.
 
-use crate::support::{TestGate, boxed, race};
+use crate::support::{TestGate, race, test_gate};
 use honeypulley_policy::balance::BudgetUse;
 use honeypulley_supervisor::clock::Clock;
 use std::time::Duration;
@@ -8,9 +8,9 @@
 use tokio::net::TcpListener;
 
 /// Starts an upstream that rejects every request and asks for a backoff.
-async fn rejecting() -> String {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
-    let addr = listener.local_addr().expect("it is bound").to_string();
+async fn rejecting_upstream() -> String {
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is available");
+    let addr = listener.local_addr().expect("the listener is bound").to_string();
     tokio::spawn(async move {
         while let Ok((mut s, _)) = listener.accept().await {
             let _ = s.read(&mut [0; 1_024]).await;
@@ -22,15 +22,18 @@
     addr
 }
 
-fn budget(on: &TestGate) -> BudgetUse {
-    on.gate.chooser.lock().budget_use(on.service, on.gate.now())
+fn budget_use(test: &TestGate) -> BudgetUse {
+    test.gate.chooser.lock().budget_use(test.service, test.gate.now())
 }
 
-/// Guards against tokens for retries that no upstream may be sent.
+/// Guards against charging the retry budget if no upstream is available for the retry.
 #[tokio::test]
-async fn a_retry_that_no_upstream_may_be_sent_costs_no_budget() {
-    let on = boxed(&[rejecting().await, rejecting().await], Clock::start());
-    let own = race(&on, Duration::from_secs(5)).run().await.expect_err("both reject it");
-    assert_eq!(budget(&on).own, 1, "the second upstream was sent one retry");
-    assert!(own.retry_after.is_some(), "callers are told when to come back");
+async fn a_retry_without_an_available_upstream_is_not_charged() {
+    let test = test_gate(&[rejecting_upstream().await, rejecting_upstream().await], Clock::start());
+    let own = race(&test, Duration::from_secs(5))
+        .run()
+        .await
+        .expect_err("both upstreams reject the request");
+    assert_eq!(budget_use(&test).own, 1, "only the retry on the second upstream is charged");
+    assert!(own.retry_after.is_some(), "the caller is told when to retry");
 }
--- a/crates/honeypulley_proxy/tests/race/ends.rs
+++ b/crates/honeypulley_proxy/tests/race/ends.rs
@@ -1,7 +1,7 @@
-//! Upstreams that end under a request, seen by a box that knows of no others.
+//! Tests the detection of upstreams that crash during a request, on a box without peers.
 
-use crate::support::{REQUEST, TestGate, boxed, race};
-use honeypulley_policy::quarantine::Standing;
+use crate::support::{REQUEST, TestGate, race, test_gate};
+use honeypulley_policy::quarantine::Restriction;
 use honeypulley_supervisor::clock::Clock;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -9,66 +9,68 @@
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpListener;
 
-/// Starts an upstream that ends the connection of each request, and its port with the first
-/// one if `ends`; it counts in `taken` when it takes its first.
-async fn upstream(ends: bool, taken: &Arc<AtomicUsize>) -> String {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
-    let addr = listener.local_addr().expect("it is bound").to_string();
-    let taken = Arc::clone(taken);
+/// Starts an upstream that closes the connection of each request without an answer.
+///
+/// With `crashes`, it also closes its port on the first request. The first request of each
+/// upstream is counted in `received`.
+async fn closing_upstream(crashes: bool, received: &Arc<AtomicUsize>) -> String {
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is available");
+    let addr = listener.local_addr().expect("the listener is bound").to_string();
+    let received = Arc::clone(received);
     tokio::spawn(async move {
-        let take = async || {
-            let (mut s, _) = listener.accept().await.expect("one comes");
+        let accept = async || {
+            let (mut s, _) = listener.accept().await.expect("a connection is accepted");
             let _ = s.read(&mut [0; 1_024]).await;
             s
         };
-        let first = take().await;
-        taken.fetch_add(1, Ordering::Relaxed);
-        if ends {
+        let first = accept().await;
+        received.fetch_add(1, Ordering::Relaxed);
+        if crashes {
             drop(listener);
             drop(first);
             return;
         }
         drop(first);
         loop {
-            drop(take().await);
+            drop(accept().await);
         }
     });
     addr
 }
 
-/// A box before some such upstreams, each of which has been sent the request.
-async fn after(count: usize, ends: bool) -> TestGate {
-    let taken = Arc::default();
+/// Returns a box whose upstreams have each received the request.
+async fn with_upstreams(count: usize, crashes: bool) -> TestGate {
+    let received = Arc::default();
     let mut addrs = Vec::new();
     for _ in 0..count {
-        addrs.push(upstream(ends, &taken).await);
+        addrs.push(closing_upstream(crashes, &received).await);
     }
-    let on = boxed(&addrs, Clock::start());
-    // It may choose one again that it has been at.
-    while taken.load(Ordering::Relaxed) < count {
-        let failed = race(&on, Duration::from_secs(5)).run().await;
+    let test = test_gate(&addrs, Clock::start());
+    // The policy may pick an upstream again that has already received the request.
+    while received.load(Ordering::Relaxed) < count {
+        let failed = race(&test, Duration::from_secs(5)).run().await;
         assert!(failed.is_err(), "no upstream answers");
     }
-    // All boxes have told of an end after a moment, which is waited for.
+    // A crash counts only after the time within which all boxes announce it.
     tokio::time::sleep(Duration::from_millis(60)).await;
-    on
+    test
 }
 
-fn standing(on: &TestGate) -> Standing {
-    on.gate.suspects.standing(REQUEST, on.gate.now())
+fn restriction(test: &TestGate) -> Restriction {
+    test.gate.suspects.restriction(REQUEST, test.gate.now())
 }
 
 #[tokio::test]
-async fn a_request_under_which_three_upstreams_ended_is_held() {
-    assert!(matches!(standing(&after(3, true).await), Standing::Held { .. }));
+async fn a_request_that_crashed_three_upstreams_is_held() {
+    assert!(matches!(restriction(&with_upstreams(3, true).await), Restriction::Held { .. }));
 }
 
 #[tokio::test]
-async fn two_ends_leave_it_one_send_a_try() {
-    assert_eq!(standing(&after(2, true).await), Standing::Single);
+async fn a_request_that_crashed_two_upstreams_is_not_retried() {
+    assert_eq!(restriction(&with_upstreams(2, true).await), Restriction::NoRetry);
 }
 
 #[tokio::test]
-async fn connections_that_are_closed_by_upstreams_that_run_on_say_nothing() {
-    assert_eq!(standing(&after(3, false).await), Standing::Clear);
+async fn closed_connections_of_running_upstreams_are_no_evidence() {
+    assert_eq!(restriction(&with_upstreams(3, false).await), Restriction::Clear);
 }
--- a/crates/honeypulley_proxy/tests/race/foreign.rs
+++ b/crates/honeypulley_proxy/tests/race/foreign.rs
@@ -1,6 +1,6 @@
-//! Answers that belong to another request, and what they say of their sender.
+//! Tests that answers to other requests are rejected together with their signals.
 
-use crate::support::{boxed, race};
+use crate::support::{race, test_gate};
 use honeypulley_supervisor::clock::Clock;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -8,14 +8,14 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 
-/// Starts an upstream whose every answer is another request's; it counts requests in `taken`.
-async fn upstream(taken: Arc<AtomicUsize>) -> String {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
-    let addr = listener.local_addr().expect("it is bound").to_string();
+/// Starts an upstream that echoes a wrong attempt ID and counts requests in `received`.
+async fn misrouting_upstream(received: Arc<AtomicUsize>) -> String {
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is available");
+    let addr = listener.local_addr().expect("the listener is bound").to_string();
     tokio::spawn(async move {
         while let Ok((mut s, _)) = listener.accept().await {
             let _ = s.read(&mut [0; 1_024]).await;
-            taken.fetch_add(1, Ordering::Relaxed);
+            received.fetch_add(1, Ordering::Relaxed);
             let head = "HTTP/1.1 200 OK\r\nhoneypulley-attempt: another\r\n\
                         honeypulley-drain: 1\r\ncontent-length: 0\r\n\r\n";
             let _ = s.write_all(head.as_bytes()).await;
@@ -24,14 +24,14 @@
     addr
 }
 
-/// Guards against signals of an answer that may come from another incarnation.
+/// Guards against applying signals of an answer that may come from another upstream instance.
 #[tokio::test]
 async fn an_answer_to_another_request_announces_no_shutdown() {
-    let taken = Arc::<AtomicUsize>::default();
-    let on = boxed(&[upstream(Arc::clone(&taken)).await], Clock::start());
+    let received = Arc::<AtomicUsize>::default();
+    let test = test_gate(&[misrouting_upstream(Arc::clone(&received)).await], Clock::start());
     for _ in 0..2 {
-        let failed = race(&on, Duration::from_secs(5)).run().await;
+        let failed = race(&test, Duration::from_secs(5)).run().await;
         assert!(failed.is_err(), "the answer belongs to another request");
     }
-    assert_eq!(taken.load(Ordering::Relaxed), 2);
+    assert_eq!(received.load(Ordering::Relaxed), 2);
 }
--- a/crates/honeypulley_proxy/tests/race/main.rs
+++ b/crates/honeypulley_proxy/tests/race/main.rs
@@ -1,4 +1,4 @@
-//! One request on its way, over real connections.
+//! Tests the attempts of single requests over real connections.
 
 mod budget;
 mod ends;
--- a/crates/honeypulley_proxy/tests/race/support.rs
+++ b/crates/honeypulley_proxy/tests/race/support.rs
@@ -1,4 +1,4 @@
-//! A box before some upstreams, and one request of it.
+//! Test setup of a box with upstreams and a single request.
 
 use bytes::Bytes;
 use cadence::{NopMetricSink, StatsdClient};
@@ -16,7 +16,7 @@
 use honeypulley_proxy::fingerprint::Fingerprinter;
 use honeypulley_proxy::gate::{Belongs, Gate, Reuse, Routed, Routes, Wanted, client};
 use honeypulley_proxy::race::Race;
-use honeypulley_proxy::suspects::OwnSuspects;
+use honeypulley_proxy::suspects::LocalSuspects;
 use honeypulley_supervisor::clock::Clock;
 use http::{HeaderMap, Method};
 use parking_lot::Mutex;
@@ -24,7 +24,7 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize};
 use std::time::Duration;
 
-/// The one request of these tests.
+/// Fingerprints of the request used in these tests.
 pub const REQUEST: Fingerprints = Fingerprints { caller: Fingerprint(1), content: Fingerprint(2) };
 
 #[derive(Debug)]
@@ -32,18 +32,18 @@
 
 impl Routes for NoRoutes {
     fn route(&self, _: &Wanted<'_>, _: Time) -> Result<Routed, OwnAnswer> {
-        unreachable!("the race is begun by hand")
+        unreachable!("tests start the race without routing")
     }
 }
 
-/// The serving path of a box, and the service that its upstreams are of.
+/// Serving path of a box, and the service of its upstreams.
 pub struct TestGate {
     pub gate: Arc<Gate>,
     pub service: ServiceKey,
 }
 
-/// Builds a box before upstreams at these addresses.
-pub fn boxed(addrs: &[String], clock: Clock) -> TestGate {
+/// Creates a box with upstreams at these addresses.
+pub fn test_gate(addrs: &[String], clock: Clock) -> TestGate {
     let mut balancer = Balancer::new("h", RetryRule::default(), 7).with_past(Past::Empty);
     balancer.set_services(&[ServiceSpec::builder().name("s").build()], Time::ZERO);
     for (i, addr) in addrs.iter().enumerate() {
@@ -57,15 +57,15 @@
         let listed = Listed { member, slots: 3, cold: Duration::ZERO, born: None };
         balancer.set_upstream(listed, Time::ZERO);
     }
-    let service = balancer.service("s").expect("set up");
+    let service = balancer.service("s").expect("the service was added");
     let chooser: Arc<Mutex<dyn Chooser>> = Arc::new(Mutex::new(balancer));
     let gate = Gate {
         chooser,
         routes: Arc::new(NoRoutes),
         dialect: Dialect::default(),
         fingerprints: Fingerprinter::new([0; 32]),
-        suspects: Arc::<OwnSuspects>::default(),
-        client: client(None, Reuse::Fresh).expect("it can be set up"),
+        suspects: Arc::<LocalSuspects>::default(),
+        client: client(None, Reuse::Fresh).expect("the client can be built"),
         clock,
         metrics: Arc::new(StatsdClient::from_sink("test", NopMetricSink)),
         open: AtomicUsize::new(0),
@@ -74,10 +74,10 @@
     TestGate { gate: Arc::new(gate), service }
 }
 
-/// Builds one try of the request, which may not be repeated.
-pub fn race(on: &TestGate, left: Duration) -> Race {
+/// Creates the request, which is not repeatable.
+pub fn race(test: &TestGate, left: Duration) -> Race {
     let ask = Ask {
-        service: on.service,
+        service: test.service,
         repeatable: false,
         priority: 0,
         bulky: false,
@@ -104,11 +104,11 @@
         same: REQUEST,
     };
     Race {
-        gate: Arc::clone(&on.gate),
+        gate: Arc::clone(&test.gate),
         routed,
         id: "r-1".to_owned(),
         out: Arc::new(out),
-        source: Source::Kept(Bytes::new()),
-        deadline: Some(on.gate.now() + left),
+        source: Source::Buffered(Bytes::new()),
+        deadline: Some(test.gate.now() + left),
     }
 }
--- a/crates/honeypulley_proxy/tests/signals.rs
+++ b/crates/honeypulley_proxy/tests/signals.rs
@@ -1,9 +1,9 @@
-//! Which announcements and backoffs are read from an answer, and why others are ignored.
+//! Tests the parsing of shutdown announcements and backoffs in answers.
 
 use honeypulley_proxy::dialect::Dialect;
 use honeypulley_proxy::headers;
 use honeypulley_proxy::signals::{
-    BackoffFault, LeavingFault, MAX_BACKOFF, may_ask_backoff, read_backoff,
+    InvalidBackoff, InvalidShutdown, MAX_BACKOFF, may_request_backoff, read_backoff,
 };
 use http::{HeaderMap, HeaderName, HeaderValue, StatusCode, header};
 use proptest::prelude::*;
@@ -14,16 +14,16 @@
 fn head(name: &HeaderName, values: &[&str]) -> HeaderMap {
     let mut h = HeaderMap::new();
     for v in values {
-        h.append(name, HeaderValue::from_str(v).expect("it fits a header"));
+        h.append(name, HeaderValue::from_str(v).expect("the value is valid in a header"));
     }
     h
 }
 
-fn leaving(values: &[&str]) -> Result<bool, LeavingFault> {
+fn shutdown(values: &[&str]) -> Result<bool, InvalidShutdown> {
     Dialect::default().leaving(&head(&headers::LEAVING, values))
 }
 
-fn backoff(values: &[&str]) -> Result<Option<Duration>, BackoffFault> {
+fn backoff(values: &[&str]) -> Result<Option<Duration>, InvalidBackoff> {
     read_backoff(&head(&header::RETRY_AFTER, values))
 }
 
@@ -31,9 +31,9 @@
 #[case::none(&[], false)]
 #[case::one(&["1"], true)]
 #[case::blanks_around(&[" 1 "], true)]
-#[case::twice_the_same(&["1", "1"], true)]
-fn an_announcement_is_a_one(#[case] values: &[&str], #[case] expected: bool) {
-    assert_eq!(leaving(values), Ok(expected));
+#[case::repeated(&["1", "1"], true)]
+fn the_value_1_announces_a_shutdown(#[case] values: &[&str], #[case] expected: bool) {
+    assert_eq!(shutdown(values), Ok(expected));
 }
 
 #[rstest]
@@ -42,8 +42,11 @@
 #[case::word(&["true"], "true")]
 #[case::list(&["1, 1"], "1, 1")]
 #[case::contradiction(&["1", "0"], "0")]
-fn an_odd_announcement_is_ignored_with_its_reason(#[case] values: &[&str], #[case] odd: &str) {
-    assert_eq!(leaving(values), Err(LeavingFault(odd.to_owned())));
+fn an_invalid_announcement_is_rejected_with_a_reason(
+    #[case] values: &[&str],
+    #[case] invalid: &str,
+) {
+    assert_eq!(shutdown(values), Err(InvalidShutdown(invalid.to_owned())));
 }
 
 #[rstest]
@@ -52,20 +55,23 @@
 #[case::fraction(&["0.25"], Some(Duration::from_millis(250)))]
 #[case::zero(&["0"], None)]
 #[case::hour(&["3600"], Some(MAX_BACKOFF))]
-#[case::beyond_the_most(&["99999999999999999999"], Some(MAX_BACKOFF))]
+#[case::above_the_maximum(&["99999999999999999999"], Some(MAX_BACKOFF))]
 fn a_backoff_is_a_number_of_seconds(#[case] values: &[&str], #[case] expected: Option<Duration>) {
     assert_eq!(backoff(values), Ok(expected));
 }
 
 #[rstest]
-#[case::several(&["1", "3"], BackoffFault::Several(2))]
-#[case::date(&["Wed, 21 Oct 2026 07:28:00 GMT"], BackoffFault::NotSeconds("Wed, 21 Oct 2026 07:28:00 GMT".to_owned()))]
-#[case::negative(&["-1"], BackoffFault::NotSeconds("-1".to_owned()))]
-#[case::exponent(&["1e3"], BackoffFault::NotSeconds("1e3".to_owned()))]
-#[case::infinite(&["inf"], BackoffFault::NotSeconds("inf".to_owned()))]
-#[case::empty(&[""], BackoffFault::NotSeconds(String::new()))]
-#[case::dot(&["."], BackoffFault::NotSeconds(".".to_owned()))]
-fn an_odd_backoff_is_ignored_with_its_reason(#[case] values: &[&str], #[case] fault: BackoffFault) {
+#[case::several(&["1", "3"], InvalidBackoff::Multiple(2))]
+#[case::date(&["Wed, 21 Oct 2026 07:28:00 GMT"], InvalidBackoff::NotSeconds("Wed, 21 Oct 2026 07:28:00 GMT".to_owned()))]
+#[case::negative(&["-1"], InvalidBackoff::NotSeconds("-1".to_owned()))]
+#[case::exponent(&["1e3"], InvalidBackoff::NotSeconds("1e3".to_owned()))]
+#[case::infinite(&["inf"], InvalidBackoff::NotSeconds("inf".to_owned()))]
+#[case::empty(&[""], InvalidBackoff::NotSeconds(String::new()))]
+#[case::dot(&["."], InvalidBackoff::NotSeconds(".".to_owned()))]
+fn an_invalid_backoff_is_rejected_with_a_reason(
+    #[case] values: &[&str],
+    #[case] fault: InvalidBackoff,
+) {
     assert_eq!(backoff(values), Err(fault));
 }
 
@@ -77,15 +83,15 @@
 #[case::failure(500, false, false)]
 #[case::success(200, false, false)]
 #[case::redirect(301, false, false)]
-fn only_some_answers_ask_for_a_backoff(
+fn only_some_answers_may_request_a_backoff(
     #[case] status: u16,
     #[case] not_run: bool,
     #[case] expected: bool,
 ) {
     let d = Dialect::default();
     let h = if not_run { head(&d.not_run, &["1"]) } else { HeaderMap::new() };
-    let status = StatusCode::from_u16(status).expect("a status");
-    assert_eq!(may_ask_backoff(&d, status, &h), expected);
+    let status = StatusCode::from_u16(status).expect("the status code is valid");
+    assert_eq!(may_request_backoff(&d, status, &h), expected);
 }
 
 #[test]
@@ -102,9 +108,9 @@
         ..ProptestConfig::default()
     })]
 
-    /// No value makes reading panic, or yields a backoff beyond the longest one.
+    /// Arbitrary header values cause no panic and yield no backoff above the maximum.
     #[test]
-    fn any_bytes_are_read_or_refused(values in prop::collection::vec(
+    fn arbitrary_bytes_are_accepted_or_rejected(values in prop::collection::vec(
         prop::collection::vec(any::<u8>(), 0..40), 0..4,
     )) {
         let d = Dialect::default();
@@ -122,7 +128,7 @@
     }
 
     #[test]
-    fn digits_are_always_read(text in "[0-9]{1,24}(\\.[0-9]{1,24})?") {
+    fn decimal_numbers_are_always_accepted(text in "[0-9]{1,24}(\\.[0-9]{1,24})?") {
         prop_assert!(backoff(&[&text]).is_ok());
     }
 }
