--- a/crates/honeypulley_policy/tests/limits/alone.rs
+++ b/crates/honeypulley_policy/tests/limits/alone.rs
@@ -1,14 +1,16 @@
-//! What a box that hears nobody does about a limit over all boxes.
+//! Tests fleet-wide rate limits on an isolated box.
 
 use honeypulley_policy::balance::Past;
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::fleet_limits::{FleetLimits, LimitRule, RateLimit, Scope};
 use honeypulley_policy::time::Time;
 
-/// A caller that comes back when it was told to is admitted, also where the box keeps to a part
-/// of its share since the limit was nearly met when it last heard the others.
+/// Guards against a `Retry-After` that is too short on an isolated box.
+///
+/// If a subject was near its limit when the box became isolated, only a part of the box's share
+/// is refilled. The waiting time must be computed from that reduced rate.
 #[test]
-fn a_caller_that_comes_back_when_told_to_is_admitted() {
+fn a_caller_that_respects_retry_after_is_admitted() {
     let id = NameId::of("acme");
     let mut limits = FleetLimits::new("h", LimitRule::default(), Past::Empty, 1, Time::ZERO);
     limits.set_limits([(id, RateLimit { rate: 10.0, burst: 10.0 })]);
@@ -19,7 +21,11 @@
     for _ in 0..20 {
         if let Err(wait) = limits.admit(id, now) {
             now = now + wait;
-            assert_eq!(limits.admit(id, now), Ok(()), "it was told to come after {wait:?}");
+            assert_eq!(
+                limits.admit(id, now),
+                Ok(()),
+                "the caller was told to retry after {wait:?}"
+            );
         }
     }
 }
--- a/crates/honeypulley_policy/tests/limits/main.rs
+++ b/crates/honeypulley_policy/tests/limits/main.rs
@@ -1,36 +1,37 @@
-//! Limits of organisations over all boxes, played in simulated time.
+//! Simulates the enforcement of organisations' rate limits over all boxes.
 //!
-//! Grounds of the figures: 80 organisations before 113 boxes, a middle one of 10 and a large
-//! one of 120 requests a second, limits at 1.6 times the usual with a second's burst; an
-//! organisation that sends 3 to 7.5 times its usual; a limit cut to a quarter; a third of the
-//! boxes cut off or killed; 3 to 30 in 100 datagrams lost.
+//! The parameters are based on 80 organisations and 113 boxes. A medium organisation sends 10
+//! requests/s and a large one 120 requests/s. Limits are 1.6 times the usual rate, with a burst of
+//! one second. Scenarios include organisations that send 3 to 7.5 times their usual rate, a limit
+//! lowered to a quarter, a third of the boxes isolated or killed, and 3% to 30% datagram loss.
 
 mod alone;
 mod fleet;
+mod strategies;
 mod upstreams;
-mod ways;
 
-use fleet::{ORGANISATION, Outcome, Plan, Way, play};
+use fleet::{ORGANISATION, Outcome, Plan, Strategy, simulate};
 use honeypulley_policy::fleet_limits::RateLimit;
 use rstest::rstest;
 
-/// Requests a second of a large organisation and of a middle one.
+/// Requests per second of a large organisation.
 const LARGE: f64 = 120.0;
-const MIDDLE: f64 = 10.0;
-/// What a limit is, over the usual.
-const ROOM: f64 = 1.6;
-/// A pattern beyond what links of the deployments lose, played for its figures alone.
-const HALF_DEAF: &str = "4 times, 30 in 100 lost";
-/// Courses played of each pattern.
+/// Requests per second of a medium organisation.
+const MEDIUM: f64 = 10.0;
+/// Limit as a multiple of the usual rate.
+const LIMIT_FACTOR: f64 = 1.6;
+/// Scenario with more loss than the deployments' links have, used for its figures only.
+const HEAVY_LOSS: &str = "4 times, 30 in 100 lost";
+/// Number of simulated runs for each scenario.
 const SEEDS: u64 = 5;
 
 fn limit(usual: f64) -> RateLimit {
-    RateLimit { rate: usual * ROOM, burst: usual * ROOM }
+    RateLimit { rate: usual * LIMIT_FACTOR, burst: usual * LIMIT_FACTOR }
 }
 
-fn calm(way: Way, usual: f64) -> Plan {
+fn calm(strategy: Strategy, usual: f64) -> Plan {
     Plan {
-        way,
+        strategy,
         bound: ORGANISATION,
         boxes: 113,
         halls: 3,
@@ -48,13 +49,13 @@
     }
 }
 
-fn hot(way: Way, usual: f64, times: f64) -> Plan {
-    Plan { times, hot: (5_000, 13_000), ..calm(way, usual) }
+fn overloaded(strategy: Strategy, usual: f64, times: f64) -> Plan {
+    Plan { times, hot: (5_000, 13_000), ..calm(strategy, usual) }
 }
 
-/// Returns the worst of some seeds, and the middle use and cost.
-fn played(plan: Plan) -> Outcome {
-    let all: Vec<Outcome> = (0..SEEDS).map(|seed| play(Plan { seed, ..plan })).collect();
+/// Returns the worst excess over several seeds, and the mean use and cost.
+fn averaged(plan: Plan) -> Outcome {
+    let all: Vec<Outcome> = (0..SEEDS).map(|seed| simulate(Plan { seed, ..plan })).collect();
     let mean = |f: fn(&Outcome) -> f64| all.iter().map(f).sum::<f64>() / all.len() as f64;
     Outcome {
         worst: all.iter().map(|o| o.worst).fold(0.0, f64::max),
@@ -63,93 +64,94 @@
     }
 }
 
-/// Names of the patterns, and what they are for an organisation of a size.
-fn patterns(way: Way, usual: f64) -> Vec<(&'static str, Plan)> {
-    let hot = |times| hot(way, usual, times);
+/// Returns the named scenarios for an organisation with the given usual rate.
+fn scenarios(strategy: Strategy, usual: f64) -> Vec<(&'static str, Plan)> {
+    let hot = |times| overloaded(strategy, usual, times);
     let lower = RateLimit { rate: usual / 4.0, burst: usual / 4.0 };
     vec![
-        ("calm", calm(way, usual)),
-        ("calm, skewed", Plan { skew: 0.6, ..calm(way, usual) }),
+        ("calm", calm(strategy, usual)),
+        ("calm, skewed", Plan { skew: 0.6, ..calm(strategy, usual) }),
         ("3.2 times", hot(3.2)),
         ("7.5 times", hot(7.5)),
         ("7.5 times, skewed", Plan { skew: 0.6, ..hot(7.5) }),
         ("4 times, 3 in 100 lost", Plan { lost: 0.03, ..hot(4.0) }),
         ("4 times, 12 in 100 lost", Plan { lost: 0.12, ..hot(4.0) }),
-        (HALF_DEAF, Plan { lost: 0.3, ..hot(4.0) }),
-        ("limit lowered", Plan { lowered: Some((6_000, lower)), ..calm(way, usual) }),
+        (HEAVY_LOSS, Plan { lost: 0.3, ..hot(4.0) }),
+        ("limit lowered", Plan { lowered: Some((6_000, lower)), ..calm(strategy, usual) }),
         ("4 times, a third killed", Plan { killed: (0.33, 8_000), ..hot(4.0) }),
         ("4 times, all killed", Plan { killed: (1.0, 8_000), ..hot(4.0) }),
-        ("calm, all killed", Plan { killed: (1.0, 8_000), ..calm(way, usual) }),
+        ("calm, all killed", Plan { killed: (1.0, 8_000), ..calm(strategy, usual) }),
         ("4 times, a third cut off", Plan { cut: (0.33, (7_000, 12_000)), ..hot(4.0) }),
-        ("calm, a third cut off", Plan { cut: (0.33, (7_000, 12_000)), ..calm(way, usual) }),
+        ("calm, a third cut off", Plan { cut: (0.33, (7_000, 12_000)), ..calm(strategy, usual) }),
     ]
 }
 
-/// Prints the table of docs/design/7-shifted.md: `cargo test -p honeypulley_policy --test
-/// limits -- --ignored --nocapture`.
+/// Prints the table in docs/design/7-shifted.md.
+///
+/// Run it with `cargo test -p honeypulley_policy --test limits -- --ignored --nocapture`.
 #[test]
-#[ignore = "prints figures, and plays for a minute"]
-fn table_of_ways() {
-    for usual in [MIDDLE, LARGE] {
-        for way in [Way::Told, Way::EqualShare, Way::Batches] {
-            for (name, plan) in patterns(way, usual) {
-                let o = played(plan);
+#[ignore = "prints figures and takes a minute"]
+fn table_of_strategies() {
+    for usual in [MEDIUM, LARGE] {
+        for strategy in [Strategy::Told, Strategy::EqualShare, Strategy::Batches] {
+            for (name, plan) in scenarios(strategy, usual) {
+                let o = averaged(plan);
                 println!(
-                    "{usual} {way:?} | {name} | {:.2} | {:.3} | {:.1}",
+                    "{usual} {strategy:?} | {name} | {:.2} | {:.3} | {:.1}",
                     o.worst, o.used, o.datagrams
                 );
             }
         }
     }
     for (boxes, halls) in [(36, 3), (113, 3), (293, 3), (4_600, 25)] {
-        let o = play(Plan { boxes, halls, ..hot(Way::Told, LARGE, 7.5) });
+        let o = simulate(Plan { boxes, halls, ..overloaded(Strategy::Told, LARGE, 7.5) });
         println!("size {boxes} {halls} | {:.2} | {:.3} | {:.1}", o.worst, o.used, o.datagrams);
     }
 }
 
 #[rstest]
-#[case::middle(MIDDLE)]
+#[case::medium(MEDIUM)]
 #[case::large(LARGE)]
-fn an_organisation_at_its_usual_is_refused_next_to_nothing(#[case] usual: f64) {
-    for (name, plan) in patterns(Way::Told, usual) {
+fn an_organisation_at_its_usual_rate_is_hardly_ever_rejected(#[case] usual: f64) {
+    for (name, plan) in scenarios(Strategy::Told, usual) {
         if name.starts_with("calm") && !name.ends_with("killed") {
-            let o = played(plan);
-            // Of a twelfth of the requests, which come to boxes that hear nobody, half at
-            // least are admitted.
+            let o = averaged(plan);
+            // A twelfth of the requests arrive at isolated boxes, which must admit at least half
+            // of them.
             let least = if plan.cut.0 > 0.0 { 0.958 } else { 0.99 };
             assert!(o.used > least, "{name}: {o:?}");
         }
     }
 }
 
-/// The rule: no window admits more than a tenth and twenty requests beyond the limit.
+/// Checks that no window exceeds the limit by more than 10% plus 20 requests.
 #[rstest]
-#[case::middle(MIDDLE)]
+#[case::medium(MEDIUM)]
 #[case::large(LARGE)]
 fn no_window_admits_more_than_the_bound(#[case] usual: f64) {
-    for (name, plan) in patterns(Way::Told, usual) {
-        if name == HALF_DEAF {
+    for (name, plan) in scenarios(Strategy::Told, usual) {
+        if name == HEAVY_LOSS {
             continue;
         }
-        let o = played(plan);
+        let o = averaged(plan);
         assert!(o.worst <= 1.0, "{name}: {o:?}");
     }
 }
 
-/// Refusing below the limit is service lost.
+/// Guards against rejecting requests that the limit allows.
 #[rstest]
-#[case::middle(MIDDLE)]
+#[case::medium(MEDIUM)]
 #[case::large(LARGE)]
-fn an_organisation_beyond_its_limit_gets_what_it_allows(#[case] usual: f64) {
+fn an_organisation_above_its_limit_can_use_the_whole_limit(#[case] usual: f64) {
     for times in [3.2, 7.5] {
-        let o = played(hot(Way::Told, usual, times));
+        let o = averaged(overloaded(Strategy::Told, usual, times));
         assert!(o.used > 0.95, "{times} times: {o:?}");
     }
 }
 
 #[test]
-fn an_organisation_far_from_its_limit_costs_nothing_between_halls() {
+fn an_organisation_far_from_its_limit_causes_no_traffic_between_halls() {
     let in_hall = LARGE / 3.0 * (113.0 / 3.0 - 1.0) / (113.0 / 3.0);
-    let o = played(calm(Way::Told, LARGE));
+    let o = averaged(calm(Strategy::Told, LARGE));
     assert!(o.datagrams < in_hall * 1.05, "{o:?}, {in_hall} in the hall alone");
 }
--- a/crates/honeypulley_policy/tests/limits/ways.rs
+++ b/crates/honeypulley_policy/tests/limits/strategies.rs
@@ -1,4 +1,4 @@
-//! Ways to bound what all boxes admit together: those that boxes use, and others beside them.
+//! Strategies for fleet-wide rate limits: the one in use, and alternatives for comparison.
 
 use crate::fleet::{BoxId, Fleet, Message};
 use honeypulley_policy::balance::{News, Past};
@@ -8,52 +8,57 @@
 use honeypulley_policy::time::Time;
 use std::time::Duration;
 
-/// The one organisation of these fleets.
+/// Returns the organisation used in the simulations.
 pub fn organisation() -> NameId {
     NameId::of("acme")
 }
 
-/// What one box does about the limit.
+/// Enforcement of the limit on one box.
 pub trait Limiter {
-    /// Tells whether a request is admitted; what is to be told goes to `out`.
+    /// Returns whether a request is admitted, and appends announcements to `out`.
     fn admit(&mut self, fleet: &Fleet, now: Time, out: &mut Vec<Message>) -> bool;
-    /// Takes what another box tells.
-    fn heard(&mut self, fleet: &Fleet, m: &Message, now: Time, out: &mut Vec<Message>);
-    /// Takes another limit.
+    /// Applies a message of another box.
+    fn receive(&mut self, fleet: &Fleet, m: &Message, now: Time, out: &mut Vec<Message>);
+    /// Replaces the limit.
     fn set(&mut self, limit: RateLimit);
 }
 
-/// What boxes use: admissions told in a hall, sums between halls.
+/// Strategy in use: admissions are announced within a hall, and sums between halls.
 pub struct Told {
-    me: BoxId,
+    this_box: BoxId,
     limits: FleetLimits,
 }
 
 impl Told {
-    pub fn new(me: BoxId, fleet: &Fleet, limit: RateLimit, past: Past, now: Time) -> Self {
-        let mut limits =
-            FleetLimits::new(&fleet.hall_name(me), LimitRule::default(), past, me.0 as u64, now);
+    pub fn new(this_box: BoxId, fleet: &Fleet, limit: RateLimit, past: Past, now: Time) -> Self {
+        let mut limits = FleetLimits::new(
+            &fleet.hall_name(this_box),
+            LimitRule::default(),
+            past,
+            this_box.0 as u64,
+            now,
+        );
         limits.set_limits([(organisation(), limit)]);
-        Self { me, limits }
+        Self { this_box, limits }
     }
 
     fn set_scope(&mut self, fleet: &Fleet, now: Time) {
-        let alone = fleet.is_alone(self.me, now);
+        let alone = fleet.is_isolated(self.this_box, now);
         self.limits.set_scope(Scope { boxes: fleet.boxes(), halls: fleet.halls(), alone });
     }
 
-    fn tell(&mut self, fleet: &Fleet, now: Time, out: &mut Vec<Message>) {
+    fn announce(&mut self, fleet: &Fleet, now: Time, out: &mut Vec<Message>) {
         for id in self.limits.due(now) {
-            if let Some(rank) = fleet.teller_rank(self.me, now) {
+            if let Some(rank) = fleet.announcer_rank(self.this_box, now) {
                 self.limits.tell(id, rank, now);
             }
         }
         for news in self.limits.take_news() {
             let to = match news {
-                News::Admitted { .. } => fleet.hall_mates(self.me),
-                _ => fleet.others(self.me),
+                News::Admitted { .. } => fleet.hall_peers(self.this_box),
+                _ => fleet.others(self.this_box),
             };
-            out.extend(to.map(|to| Message { from: self.me, to, news }));
+            out.extend(to.map(|to| Message { from: self.this_box, to, news }));
         }
     }
 }
@@ -62,11 +67,11 @@
     fn admit(&mut self, fleet: &Fleet, now: Time, out: &mut Vec<Message>) -> bool {
         self.set_scope(fleet, now);
         let admitted = self.limits.admit(organisation(), now).is_ok();
-        self.tell(fleet, now, out);
+        self.announce(fleet, now, out);
         admitted
     }
 
-    fn heard(&mut self, fleet: &Fleet, m: &Message, now: Time, out: &mut Vec<Message>) {
+    fn receive(&mut self, fleet: &Fleet, m: &Message, now: Time, out: &mut Vec<Message>) {
         let from = fleet.id(m.from);
         self.set_scope(fleet, now);
         match m.news {
@@ -78,7 +83,7 @@
             }
             _ => {}
         }
-        self.tell(fleet, now, out);
+        self.announce(fleet, now, out);
     }
 
     fn set(&mut self, limit: RateLimit) {
@@ -86,7 +91,7 @@
     }
 }
 
-/// Tokens at a rate, up to a burst.
+/// A token bucket.
 struct Bucket {
     limit: RateLimit,
     level: f64,
@@ -95,18 +100,18 @@
 
 impl Bucket {
     fn take(&mut self, n: f64, now: Time) -> bool {
-        let came = self.limit.rate * now.since(self.at).as_secs_f64();
-        self.level = (self.level + came).min(self.limit.burst.max(1.0));
+        let added = self.limit.rate * now.since(self.at).as_secs_f64();
+        self.level = (self.level + added).min(self.limit.burst.max(1.0));
         self.at = now;
-        let has = self.level >= n;
-        if has {
+        let is_available = self.level >= n;
+        if is_available {
             self.level -= n;
         }
-        has
+        is_available
     }
 }
 
-/// Each box admits an equal share and tells nobody, as the product's own interface does.
+/// Each box admits an equal share without announcements, like the product's own interface.
 pub struct EqualShare(Bucket, f64);
 
 impl EqualShare {
@@ -122,7 +127,7 @@
         self.0.take(1.0, now)
     }
 
-    fn heard(&mut self, _: &Fleet, _: &Message, _: Time, _: &mut Vec<Message>) {}
+    fn receive(&mut self, _: &Fleet, _: &Message, _: Time, _: &mut Vec<Message>) {}
 
     fn set(&mut self, limit: RateLimit) {
         let share = RateLimit { rate: limit.rate / self.1, burst: (limit.burst / self.1).max(1.0) };
@@ -130,58 +135,62 @@
     }
 }
 
-/// Tokens that a box asks of the organisation's home for at one time.
+/// Number of tokens that a box requests at a time.
 const BATCH: u16 = 4;
 
-/// One box, drawn by hashing, hands tokens out in batches; a box that has none refuses and
-/// asks for the next request.
+/// One box chosen by hashing hands out tokens in batches.
+///
+/// A box without tokens rejects the request and asks for tokens for later ones.
 pub struct Batches {
-    me: BoxId,
+    this_box: BoxId,
     tokens: u16,
-    asked: Option<Time>,
+    requested_at: Option<Time>,
     bucket: Bucket,
 }
 
 impl Batches {
-    pub fn new(me: BoxId, limit: RateLimit) -> Self {
+    pub fn new(this_box: BoxId, limit: RateLimit) -> Self {
         let bucket = Bucket { limit, level: limit.burst.max(1.0), at: Time::ZERO };
-        Self { me, tokens: 0, asked: None, bucket }
+        Self { this_box, tokens: 0, requested_at: None, bucket }
     }
 
-    fn ask(&mut self, fleet: &Fleet, now: Time, out: &mut Vec<Message>) {
-        const ASK_GAP_MS: u64 = 50;
-        if self.asked.is_some_and(|at| now.since(at).as_millis() < u128::from(ASK_GAP_MS)) {
+    fn request_tokens(&mut self, fleet: &Fleet, now: Time, out: &mut Vec<Message>) {
+        const REQUEST_INTERVAL_MS: u64 = 50;
+        if self
+            .requested_at
+            .is_some_and(|at| now.since(at).as_millis() < u128::from(REQUEST_INTERVAL_MS))
+        {
             return;
         }
-        self.asked = Some(now);
+        self.requested_at = Some(now);
         let news = News::Admitted { subject: organisation(), sum: 0 };
-        out.push(Message { from: self.me, to: fleet.home(now), news });
+        out.push(Message { from: self.this_box, to: fleet.token_holder(now), news });
     }
 }
 
 impl Limiter for Batches {
     fn admit(&mut self, fleet: &Fleet, now: Time, out: &mut Vec<Message>) -> bool {
-        if fleet.home(now) == self.me {
+        if fleet.token_holder(now) == self.this_box {
             return self.bucket.take(1.0, now);
         }
         if self.tokens <= BATCH / 2 {
-            self.ask(fleet, now, out);
+            self.request_tokens(fleet, now, out);
         }
-        let has = self.tokens > 0;
+        let is_available = self.tokens > 0;
         self.tokens = self.tokens.saturating_sub(1);
-        has
+        is_available
     }
 
-    fn heard(&mut self, fleet: &Fleet, m: &Message, now: Time, out: &mut Vec<Message>) {
+    fn receive(&mut self, fleet: &Fleet, m: &Message, now: Time, out: &mut Vec<Message>) {
         let News::Admitted { sum, .. } = m.news else { return };
         if sum > 0 {
             self.tokens += sum;
-            self.asked = None;
-        } else if fleet.home(now) == self.me {
+            self.requested_at = None;
+        } else if fleet.token_holder(now) == self.this_box {
             let granted = (0..BATCH).take_while(|_| self.bucket.take(1.0, now)).count() as u16;
             let news = News::Admitted { subject: organisation(), sum: granted };
             if granted > 0 {
-                out.push(Message { from: self.me, to: m.from, news });
+                out.push(Message { from: self.this_box, to: m.from, news });
             }
         }
     }
@@ -191,7 +200,7 @@
     }
 }
 
-/// Each box admits the whole limit and tells nobody.
+/// Each box admits the whole limit without announcements.
 pub struct Alone(Bucket);
 
 impl Alone {
@@ -205,64 +214,77 @@
         self.0.take(1.0, now)
     }
 
-    fn heard(&mut self, _: &Fleet, _: &Message, _: Time, _: &mut Vec<Message>) {}
+    fn receive(&mut self, _: &Fleet, _: &Message, _: Time, _: &mut Vec<Message>) {}
 
     fn set(&mut self, limit: RateLimit) {
         self.0.limit = limit;
     }
 }
 
-/// What a data hall may admit.
+/// Share of the limit that a data hall may admit.
 #[derive(Clone, Copy)]
-pub struct HallPart {
+pub struct HallShare {
     pub limit: RateLimit,
-    pub part: f64,
+    pub share: f64,
 }
 
-impl HallPart {
+impl HallShare {
     fn limit(self) -> RateLimit {
-        RateLimit { rate: self.limit.rate * self.part, burst: self.limit.burst * self.part }
+        RateLimit { rate: self.limit.rate * self.share, burst: self.limit.burst * self.share }
     }
 }
 
-/// How limits of upstreams are kept.
+/// Window and slack for limits of upstreams.
 const UPSTREAM_RULE: LimitRule = LimitRule { window: Duration::from_secs(4), slack: 5.0 };
 
-/// Each data hall keeps to its part, which may be nothing; admissions are told there alone.
+/// Each data hall admits a share, possibly zero, and announces only within the hall.
 pub struct Hall {
-    me: BoxId,
-    part: HallPart,
+    this_box: BoxId,
+    share: HallShare,
     limits: FleetLimits,
 }
 
 impl Hall {
-    pub fn new(me: BoxId, fleet: &Fleet, part: HallPart, past: Past, now: Time) -> Self {
-        let mut limits =
-            FleetLimits::new(&fleet.hall_name(me), UPSTREAM_RULE, past, me.0 as u64, now);
-        limits.set_limits([(organisation(), part.limit())]);
-        Self { me, part, limits }
+    pub fn new(this_box: BoxId, fleet: &Fleet, share: HallShare, past: Past, now: Time) -> Self {
+        let mut limits = FleetLimits::new(
+            &fleet.hall_name(this_box),
+            UPSTREAM_RULE,
+            past,
+            this_box.0 as u64,
+            now,
+        );
+        limits.set_limits([(organisation(), share.limit())]);
+        Self { this_box, share, limits }
     }
 
     fn set_scope(&mut self, fleet: &Fleet, now: Time) {
         let boxes = fleet.boxes() / fleet.halls();
-        self.limits.set_scope(Scope { boxes, halls: 1, alone: fleet.is_alone(self.me, now) });
+        self.limits.set_scope(Scope {
+            boxes,
+            halls: 1,
+            alone: fleet.is_isolated(self.this_box, now),
+        });
     }
 }
 
 impl Limiter for Hall {
     fn admit(&mut self, fleet: &Fleet, now: Time, out: &mut Vec<Message>) -> bool {
-        if self.part.part == 0.0 {
+        if self.share.share == 0.0 {
             return false;
         }
         self.set_scope(fleet, now);
         let admitted = self.limits.admit(organisation(), now).is_ok();
         for news in self.limits.take_news() {
-            out.extend(fleet.hall_mates(self.me).map(|to| Message { from: self.me, to, news }));
+            out.extend(fleet.hall_peers(self.this_box).map(|to| Message {
+                from: self.this_box,
+                to,
+                news,
+            }));
         }
         admitted
     }
 
-    fn heard(&mut self, fleet: &Fleet, m: &Message, now: Time, _: &mut Vec<Message>) {
+    fn receive(&mut self, fleet: &Fleet, m: &Message, now: Time, _: &mut Vec<Message>) {
         self.set_scope(fleet, now);
         if let News::Admitted { subject, sum } = m.news {
             self.limits.heard_box(fleet.id(m.from), subject, sum, now);
@@ -270,23 +292,23 @@
     }
 
     fn set(&mut self, limit: RateLimit) {
-        self.part.limit = limit;
-        self.limits.set_limits([(organisation(), self.part.limit())]);
+        self.share.limit = limit;
+        self.limits.set_limits([(organisation(), self.share.limit())]);
     }
 }
 
-/// Boxes that send to an upstream at all, where boxes are drawn.
+/// Number of boxes that send to an upstream under [`Drawn`].
 const DRAWN: usize = 3;
 
-/// Some boxes of the first data hall, drawn by hashing, have an equal share each.
+/// A few boxes of one data hall, chosen by hashing, have equal shares.
 pub struct Drawn(Option<Bucket>);
 
 impl Drawn {
-    pub fn new(me: BoxId, fleet: &Fleet, limit: RateLimit) -> Self {
-        let mut home: Vec<BoxId> =
-            fleet.others(me).chain([me]).filter(|b| fleet.is_home(*b)).collect();
-        home.sort_by_key(|&b| weight(fleet.id(b).0, 7));
-        let is_drawn = home.iter().take(DRAWN).any(|&b| b == me);
+    pub fn new(this_box: BoxId, fleet: &Fleet, limit: RateLimit) -> Self {
+        let mut candidates: Vec<BoxId> =
+            fleet.others(this_box).chain([this_box]).filter(|b| fleet.is_first_hall(*b)).collect();
+        candidates.sort_by_key(|&b| weight(fleet.id(b).0, 7));
+        let is_drawn = candidates.iter().take(DRAWN).any(|&b| b == this_box);
         let bucket = Bucket { limit: Self::share(limit), level: 1.0, at: Time::ZERO };
         Self(is_drawn.then_some(bucket))
     }
@@ -302,7 +324,7 @@
         self.0.as_mut().is_some_and(|b| b.take(1.0, now))
     }
 
-    fn heard(&mut self, _: &Fleet, _: &Message, _: Time, _: &mut Vec<Message>) {}
+    fn receive(&mut self, _: &Fleet, _: &Message, _: Time, _: &mut Vec<Message>) {}
 
     fn set(&mut self, limit: RateLimit) {
         if let Some(b) = &mut self.0 {
--- a/crates/honeypulley_policy/tests/limits/upstreams.rs
+++ b/crates/honeypulley_policy/tests/limits/upstreams.rs
@@ -1,28 +1,29 @@
-//! Limits that upstreams name, kept by all boxes together, in simulated time.
+//! Simulates the enforcement of rate limits advertised by upstreams.
 //!
-//! Grounds of the figures: limits of 0.2 to 200 a second before 36 to 4,600 boxes; an upstream is
-//! asked for two and a half times its limit, 19 in 20 requests by the boxes of its own data hall;
-//! 3 to 30 in 100 datagrams lost, a third of the boxes cut off or killed, all killed.
+//! The parameters cover limits of 0.2 to 200 requests/s with 36 to 4,600 boxes. The demand is 2.5
+//! times the limit, and 95% of the requests come from boxes in the upstream's own data hall.
+//! Between 3% and 30% of the datagrams are lost, a third of the boxes are isolated or killed, or
+//! all boxes are killed.
 
-use crate::fleet::{Plan, UPSTREAM, Way, play};
-use crate::played;
+use crate::averaged;
+use crate::fleet::{Plan, Strategy, UPSTREAM, simulate};
 use honeypulley_policy::fleet_limits::RateLimit;
 use rstest::rstest;
 
-/// Times its limit that an upstream is asked for.
+/// Demand for an upstream, as a multiple of its limit.
 const DEMAND: f64 = 2.5;
-/// Part of the requests that its own data hall gets.
-const HOME: f64 = 0.95;
-/// Requests at one time beside a second's limit.
+/// Share of the requests that arrive in the upstream's own data hall.
+const HOME_SHARE: f64 = 0.95;
+/// Burst in addition to the requests of one second.
 const BURST: f64 = 2.5;
 
 fn limit(rate: f64) -> RateLimit {
     RateLimit { rate, burst: rate + BURST }
 }
 
-fn plan(way: Way, rate: f64) -> Plan {
+fn plan(strategy: Strategy, rate: f64) -> Plan {
     Plan {
-        way,
+        strategy,
         bound: UPSTREAM,
         boxes: 36,
         halls: 3,
@@ -35,13 +36,13 @@
         killed: (0.0, 0),
         lowered: None,
         skew: 0.0,
-        home: Some(HOME),
+        home: Some(HOME_SHARE),
         seed: 0,
     }
 }
 
-fn patterns(way: Way, rate: f64) -> Vec<(&'static str, Plan)> {
-    let plan = plan(way, rate);
+fn scenarios(strategy: Strategy, rate: f64) -> Vec<(&'static str, Plan)> {
+    let plan = plan(strategy, rate);
     vec![
         ("calm", plan),
         ("12 in 100 lost", Plan { lost: 0.12, ..plan }),
@@ -56,77 +57,89 @@
     ]
 }
 
-/// Prints the table of docs/design/8-named-limits.md.
+/// Prints the table in docs/design/8-named-limits.md.
 #[test]
-#[ignore = "prints figures, and plays for a minute"]
-fn table_of_ways_of_upstreams() {
-    let ways = [Way::Alone, Way::EqualShare, Way::Told, Way::Drawn, Way::OneHall, Way::HallShares];
+#[ignore = "prints figures and takes a minute"]
+fn table_of_strategies_for_upstreams() {
+    let strategies = [
+        Strategy::Alone,
+        Strategy::EqualShare,
+        Strategy::Told,
+        Strategy::Drawn,
+        Strategy::OneHall,
+        Strategy::HallShares,
+    ];
     for rate in [0.2, 1.0, 2.2, 20.0, 200.0] {
-        for way in ways {
-            for (name, plan) in patterns(way, rate) {
-                let o = played(plan);
+        for strategy in strategies {
+            for (name, plan) in scenarios(strategy, rate) {
+                let o = averaged(plan);
                 println!(
-                    "{rate} {way:?} | {name} | {:.2} | {:.2} | {:.2}",
+                    "{rate} {strategy:?} | {name} | {:.2} | {:.2} | {:.2}",
                     o.worst, o.used, o.datagrams
                 );
             }
         }
     }
     for (boxes, halls) in [(36, 3), (113, 3), (293, 3), (4_600, 25)] {
-        for way in ways {
-            let o = play(Plan { boxes, halls, ..plan(way, 2.2) });
-            println!("size {boxes} {way:?} | {:.2} | {:.2} | {:.2}", o.worst, o.used, o.datagrams);
+        for strategy in strategies {
+            let o = simulate(Plan { boxes, halls, ..plan(strategy, 2.2) });
+            println!(
+                "size {boxes} {strategy:?} | {:.2} | {:.2} | {:.2}",
+                o.worst, o.used, o.datagrams
+            );
         }
     }
 }
 
-/// The rule: from all boxes together no four seconds bring more than half of the limit again
-/// and five requests, and the limit is used.
+/// Checks that no window of 4 s exceeds 1.5 times the limit plus 5 requests.
+///
+/// The limit must also be used.
 #[rstest]
 #[case::tiny(0.2)]
 #[case::one(1.0)]
 #[case::some(2.2)]
 #[case::many(20.0)]
 #[case::most(200.0)]
-fn the_boxes_of_one_hall_keep_to_a_limit_and_use_it(#[case] rate: f64) {
-    for (name, plan) in patterns(Way::OneHall, rate) {
-        let o = played(plan);
+fn boxes_of_one_hall_stay_within_a_limit_and_use_it(#[case] rate: f64) {
+    for (name, plan) in scenarios(Strategy::OneHall, rate) {
+        let o = averaged(plan);
         assert!(o.worst <= 1.0, "{name}: {o:?}");
-        let is_shared = plan.home.is_none();
-        assert!(o.used >= if is_shared { 0.6 } else { 0.9 }, "{name}: {o:?}");
+        let from_all_halls = plan.home.is_none();
+        assert!(o.used >= if from_all_halls { 0.6 } else { 0.9 }, "{name}: {o:?}");
     }
 }
 
-/// Where all upstreams of a service name limits, all halls press.
+/// Covers services whose upstreams all advertise limits, with demand from all halls.
 #[rstest]
 #[case::tiny(0.2)]
 #[case::one(1.0)]
 #[case::some(2.2)]
 #[case::many(20.0)]
 #[case::most(200.0)]
-fn halls_that_have_a_part_each_keep_to_a_limit_together(#[case] rate: f64) {
-    for (name, plan) in patterns(Way::HallShares, rate) {
-        let o = played(plan);
+fn halls_with_partial_limits_stay_within_the_whole_limit(#[case] rate: f64) {
+    for (name, plan) in scenarios(Strategy::HallShares, rate) {
+        let o = averaged(plan);
         assert!(o.worst <= 1.0, "{name}: {o:?}");
-        let presses = plan.home.is_none() && plan.usual > rate * DEMAND;
-        assert!(!presses || o.used >= 0.9, "{name}: {o:?}");
+        let is_saturated = plan.home.is_none() && plan.usual > rate * DEMAND;
+        assert!(!is_saturated || o.used >= 0.9, "{name}: {o:?}");
     }
 }
 
 #[test]
-fn no_size_of_the_fleet_sends_more() {
+fn the_limit_holds_for_all_fleet_sizes() {
     for (boxes, halls) in [(36, 3), (113, 3), (293, 3), (4_600, 25)] {
         for rate in [0.2, 2.2, 20.0] {
-            let o = play(Plan { boxes, halls, ..plan(Way::OneHall, rate) });
+            let o = simulate(Plan { boxes, halls, ..plan(Strategy::OneHall, rate) });
             assert!(o.worst <= 1.0 && o.used > 0.9, "{boxes} boxes, {rate}: {o:?}");
         }
     }
 }
 
-/// Of a limit so small that nothing is sent for seconds, silence does not say that this box is
-/// cut off: boxes that took it so spent shares of their own beside the others.
+/// Guards against taking silence for isolation on limits that admit nothing for seconds.
+///
+/// Boxes that did so admitted their own shares in addition to the requests of the others.
 #[test]
 fn silence_on_a_small_limit_is_not_taken_for_being_cut_off() {
-    let o = played(Plan { usual: 100.0, ..plan(Way::OneHall, 0.2) });
+    let o = averaged(Plan { usual: 100.0, ..plan(Strategy::OneHall, 0.2) });
     assert!(o.worst <= 1.0 && o.used <= 1.5, "{o:?}");
 }
--- a/crates/honeypulley_proxy/src/body.rs
+++ b/crates/honeypulley_proxy/src/body.rs
@@ -35,7 +35,7 @@
 }
 
 impl Source {
-    /// Buffers a body of up to [`MAX_KEPT`] bytes; a longer one is streamed.
+    /// Buffers a body of up to [`MAX_BUFFERED`] bytes; a longer one is streamed.
     ///
     /// # Errors
     /// Returns the error message if reading from the caller fails.
--- a/crates/honeypulley_proxy/src/named_limit.rs
+++ b/crates/honeypulley_proxy/src/named_limit.rs
@@ -26,7 +26,7 @@
 /// Reads the advertised limit in requests per second, if there is one.
 ///
 /// # Errors
-/// Returns a [`LimitFault`] if the value is invalid.
+/// Returns an [`InvalidLimit`] if the value is invalid.
 pub fn read(h: &HeaderMap, name: &HeaderName) -> Result<Option<f64>, InvalidLimit> {
     let mut all = h.get_all(name).iter();
     let Some(one) = all.next() else { return Ok(None) };
