--- a/crates/honeypulley_proxy/src/attempt.rs
+++ b/crates/honeypulley_proxy/src/attempt.rs
@@ -45,7 +45,7 @@
     pub upstream: UpstreamKey,
     request: Fingerprints,
     outcome: Outcome,
-    /// Whether the head of the answer indicates success.
+    /// Whether the head of the answer was accepted and is no server error.
     succeeded: bool,
 }
 
