--- a/crates/honeypulley/examples/failing.rs
+++ b/crates/honeypulley/examples/failing.rs
@@ -1,7 +1,7 @@
-//! The policy library alone: a failing upstream is reported, judged and avoided.
+//! Runs the policy library alone: a failing upstream is reported, judged and avoided.
 //!
-//! Events go in and decisions come out; time is a number that this program
-//! moves on, and nothing is sent anywhere.
+//! The library turns events into decisions without any I/O. The program simulates time
+//! and sends nothing over the network.
 
 use honeypulley::policy::collector::NameId;
 use honeypulley::policy::prelude::*;
@@ -26,26 +26,26 @@
     collector.set_members(members.iter().map(|m| NameId::of(&m.name)), BOXES);
 
     let mut now = Time::ZERO;
-    let mut work: BTreeMap<String, usize> = BTreeMap::new();
-    for turn in 0..4_000 {
+    let mut requests: BTreeMap<String, usize> = BTreeMap::new();
+    for step in 0..4_000 {
         now = now + Duration::from_millis(2);
-        let sick = turn >= 2_000;
-        let b = &mut boxes[turn % BOXES];
-        let service = b.service("guestlist").expect("set above");
+        let failing = step >= 2_000;
+        let b = &mut boxes[step % BOXES];
+        let service = b.service("guestlist").expect("the service was set above");
         let pick = b.pick(service, true, &[], now)?;
-        let (name, _) = b.upstream(pick.upstream).expect("just picked");
-        let fails = sick && name == FAILING;
-        if sick {
-            *work.entry(name.to_owned()).or_default() += 1;
+        let (name, _) = b.upstream(pick.upstream).expect("the upstream was just picked");
+        let fails = failing && name == FAILING;
+        if failing {
+            *requests.entry(name.to_owned()).or_default() += 1;
         }
-        // Answered after 40 ms of the model's time.
+        // The upstream answers after 40 ms of simulated time.
         let end = now + Duration::from_millis(40);
         b.answered(pick.attempt, !fails, end);
         b.finish(pick.attempt, Outcome::Whole, end);
         let reports: Vec<Report> = boxes.iter_mut().flat_map(|b| b.tick(now)).collect();
         for v in reports.iter().flat_map(|r| collector.report(r, now)) {
             println!(
-                "{:.3} s: {FAILING} is {:?}, {} boxes bear witness",
+                "{:.3} s: {FAILING} is {:?}, reported by {} boxes",
                 now.as_secs(),
                 v.judgement,
                 v.witnesses
@@ -55,7 +55,9 @@
             }
         }
     }
-    println!("requests in the four seconds after it began to fail: {work:?}");
+    println!(
+        "requests by upstream in the four seconds after {FAILING} began to fail: {requests:?}"
+    );
     Ok(())
 }
 
--- a/crates/honeypulley/src/lib.rs
+++ b/crates/honeypulley/src/lib.rs
@@ -1,7 +1,7 @@
 //! An open-source proxy fleet for upstreams with gray failures.
 //!
-//! This facade re-exports the crates that make the fleet up. Most embedders
-//! want [`policy`], which decides without any I/O:
+//! This facade re-exports the crates of the fleet. Most embedders need only
+//! [`policy`], which makes all decisions without any I/O:
 //!
 //! ```
 //! use honeypulley::policy::prelude::*;
@@ -16,7 +16,7 @@
 //!     state: MemberState::Live,
 //! };
 //! router.set_members(&[member], 1, Time::ZERO);
-//! let service = router.service("guestlist").expect("just set");
+//! let service = router.service("guestlist").expect("the service was just set");
 //! let pick = router.pick(service, true, &[], Time::ZERO)?;
 //! assert_eq!(router.upstream(pick.upstream), Some(("g1", "10.0.0.9:80")));
 //! # Ok::<(), Refusal>(())
@@ -32,7 +32,7 @@
 pub use honeypulley_proxy as proxy;
 pub use honeypulley_supervisor as supervisor;
 
-/// The names most embedders need.
+/// Types and functions that most embedders need.
 pub mod prelude {
     pub use honeypulley_bundle::prelude::*;
     pub use honeypulley_daemon::prelude::*;
--- a/crates/honeypulley_observe/src/departures.rs
+++ b/crates/honeypulley_observe/src/departures.rs
@@ -1,67 +1,70 @@
-//! Which box learned of which departure, and how long after the first one.
+//! Reports how the departure of an upstream spread over the boxes, from their logs.
 //!
-//! It distinguishes a box that never learned of it from a late one, for every upstream that
-//! left. Times are those of the boxes' clocks, which may differ by some milliseconds.
+//! For every upstream that left, it tells boxes that learned of it late from boxes that
+//! never did. Times come from the clocks of the boxes, which may differ by some
+//! milliseconds.
 
 use crate::explain::Line;
 use jiff::Timestamp;
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How one departure got round.
+/// How the departure of one upstream spread over the boxes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Departure {
-    /// Upstream that left.
+    /// Name of the upstream that left.
     pub upstream: String,
-    /// Time of day at which the first box learned of it.
+    /// Timestamp at which the first box learned of it.
     pub at: String,
-    /// Box that learned of it first, and its source.
+    /// Box that learned of it first, and the source of its update.
     pub first: (String, String),
-    /// Boxes that learned of it.
+    /// Number of boxes that learned of it.
     pub heard: usize,
-    /// Time from the first box to the middle one, in ms.
+    /// Median delay of the boxes after the first one, in ms.
     pub middle_ms: i64,
-    /// Time from the first box to the last one, in ms.
+    /// Delay of the last box after the first one, in ms.
     pub last_ms: i64,
-    /// Box that learned of it last, and its source.
+    /// Box that learned of it last, and the source of its update.
     pub last: (String, String),
-    /// Boxes that held the upstream for live and have no line that it left.
+    /// Boxes that logged the upstream as live but never that it left.
     pub never: Vec<String>,
 }
 
-/// One box's word on one upstream.
+/// Log line in which one box records that an upstream left.
 #[derive(Clone, Debug)]
-struct Word {
+struct Sighting {
     at: Timestamp,
     at_text: String,
     origin: String,
     from: String,
 }
 
-/// What the boxes logged of one upstream.
+/// What all boxes logged about one upstream.
 #[derive(Clone, Debug, Default)]
-struct Words {
+struct History {
     live: BTreeSet<String>,
-    left: BTreeMap<String, Word>,
+    departed: BTreeMap<String, Sighting>,
 }
 
-/// Reads every departure in log lines, the slowest first.
+/// Extracts all departures from log lines, the slowest first.
+///
+/// Departures of which more boxes never learned come before all others.
 pub fn read<'a>(text: impl Iterator<Item = &'a str>) -> Vec<Departure> {
-    let mut upstreams: BTreeMap<String, Words> = BTreeMap::new();
+    let mut upstreams: BTreeMap<String, History> = BTreeMap::new();
     for line in text.filter(|l| l.contains("list: ")).filter_map(Line::read) {
         let name = line.field("upstream");
         if !name.is_empty() {
-            upstreams.entry(name.to_owned()).or_default().take(&line);
+            upstreams.entry(name.to_owned()).or_default().record(&line);
         }
     }
     let mut found: Vec<Departure> =
-        upstreams.into_iter().filter_map(|(name, words)| words.sum_up(name)).collect();
+        upstreams.into_iter().filter_map(|(name, history)| history.summarize(name)).collect();
     found.sort_by_key(|d| std::cmp::Reverse((d.never.len(), d.last_ms)));
     found
 }
 
-impl Words {
-    fn take(&mut self, line: &Line) {
+impl History {
+    fn record(&mut self, line: &Line) {
         let origin = line.origin.clone();
         match line.field("state") {
             "Leaving" | "Gone" => {}
@@ -69,49 +72,49 @@
                 self.live.insert(origin);
                 return;
             }
-            // The end of the line is missing: the box was killed as it wrote.
+            // The line is truncated, since the box was killed while writing it.
             _ => return,
         }
         let Ok(at) = line.at.parse::<Timestamp>() else { return };
-        let word = Word {
+        let sighting = Sighting {
             at,
             at_text: line.at.clone(),
             origin: origin.clone(),
             from: line.field("from").to_owned(),
         };
-        // The first line counts: an upstream leaves, and then its entry goes.
-        let known = self.left.entry(origin).or_insert_with(|| word.clone());
-        if word.at < known.at {
-            *known = word;
+        // A box may log `Leaving` and later `Gone`; the earlier line counts.
+        let known = self.departed.entry(origin).or_insert_with(|| sighting.clone());
+        if sighting.at < known.at {
+            *known = sighting;
         }
     }
 
-    fn sum_up(self, upstream: String) -> Option<Departure> {
-        let never = self.live.iter().filter(|b| !self.left.contains_key(*b)).cloned().collect();
-        let mut words: Vec<Word> = self.left.into_values().collect();
-        words.sort_by_key(|w| w.at);
-        let (first, last) = (words.first()?, words.last()?);
-        let after = |w: &Word| w.at.duration_since(first.at).as_millis() as i64;
+    fn summarize(self, upstream: String) -> Option<Departure> {
+        let never = self.live.iter().filter(|b| !self.departed.contains_key(*b)).cloned().collect();
+        let mut sightings: Vec<Sighting> = self.departed.into_values().collect();
+        sightings.sort_by_key(|s| s.at);
+        let (first, last) = (sightings.first()?, sightings.last()?);
+        let delay_ms = |s: &Sighting| s.at.duration_since(first.at).as_millis() as i64;
         Some(Departure {
             upstream,
             at: first.at_text.clone(),
             first: (first.origin.clone(), first.from.clone()),
-            heard: words.len(),
-            middle_ms: after(&words[words.len() / 2]),
-            last_ms: after(last),
+            heard: sightings.len(),
+            middle_ms: delay_ms(&sightings[sightings.len() / 2]),
+            last_ms: delay_ms(last),
             last: (last.origin.clone(), last.from.clone()),
             never,
         })
     }
 }
 
-/// Returns a table of departures, as they are ordered.
+/// Formats departures as a table, in the given order.
 #[must_use]
 pub fn page(all: &[Departure]) -> String {
-    let late = all.iter().map(|d| d.last_ms).max().unwrap_or(0);
+    let slowest = all.iter().map(|d| d.last_ms).max().unwrap_or(0);
     let never = all.iter().filter(|d| !d.never.is_empty()).count();
     let mut text = format!(
-        "{} departures, the slowest to the last box after {late} ms; {never} not heard by every box\n\
+        "{} departures, the slowest to the last box after {slowest} ms; {never} not heard by every box\n\
          upstream          heard  middle_ms  last_ms  last box, by whose word, boxes that never heard\n",
         all.len()
     );
--- a/crates/honeypulley_observe/src/explain.rs
+++ b/crates/honeypulley_observe/src/explain.rs
@@ -1,54 +1,53 @@
-//! What the log lines of many boxes say of one request or one upstream.
+//! Explains requests and upstreams from the logs of many boxes.
 
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// One log line.
+/// A parsed log line.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Line {
-    /// Time of day, as written.
+    /// Timestamp, as written.
     pub at: String,
-    /// Box that wrote it, empty if it does not say.
+    /// Box that wrote the line, empty if unknown.
     pub origin: String,
-    /// Message.
+    /// Message text.
     pub message: String,
-    /// The other fields.
+    /// Remaining fields by key.
     pub fields: BTreeMap<String, String>,
 }
 
-/// Lines in order, and what decided.
+/// Matching log lines and the conclusion drawn from them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Explanation {
-    /// One sentence.
+    /// Conclusion in one sentence.
     pub verdict: String,
-    /// Lines, the oldest first.
+    /// Matching lines, oldest first.
     pub lines: Vec<Line>,
 }
 
 impl Line {
-    /// Reads a line in logfmt; `None` if it has no message.
+    /// Parses a line in logfmt; returns `None` if it has no message.
     ///
-    /// What stands before the first field, such as a collector's own mark, is left
-    /// out.
+    /// Text before the first field, such as the prefix of a log collector, is ignored.
     #[must_use]
     pub fn read(text: &str) -> Option<Self> {
-        let mut fields = pairs(text);
+        let mut fields = parse_fields(text);
         let message = fields.remove("message")?;
         let at = fields.remove("timestamp").unwrap_or_default();
         let origin = fields.remove("box").unwrap_or_default();
-        for noise in ["level", "module", "position"] {
-            fields.remove(noise);
+        for omitted in ["level", "module", "position"] {
+            fields.remove(omitted);
         }
         Some(Self { at, origin, message, fields })
     }
 
-    /// Returns a field, empty if the line has none.
+    /// Returns the value of a field, empty if the line has no such field.
     #[must_use]
     pub fn field(&self, name: &str) -> &str {
         self.fields.get(name).map_or("", String::as_str)
     }
 
-    /// Returns the line for a person.
+    /// Formats the line for display.
     #[must_use]
     pub fn text(&self) -> String {
         let mut s = format!("{} {} {}", self.at, self.origin, self.message);
@@ -59,21 +58,21 @@
     }
 }
 
-/// Splits `key=value` pairs; a value may stand in quotes.
-fn pairs(text: &str) -> BTreeMap<String, String> {
+/// Parses `key=value` pairs; values may be quoted.
+fn parse_fields(text: &str) -> BTreeMap<String, String> {
     let mut found = BTreeMap::new();
     let mut rest = text.trim();
     while let Some((before, after)) = rest.split_once('=') {
         let key = before.rsplit(char::is_whitespace).next().unwrap_or(before).to_owned();
-        let (value, left) = match after.strip_prefix('"') {
+        let (value, remaining) = match after.strip_prefix('"') {
             Some(quoted) => unquote(quoted),
             None => {
-                let (v, left) = after.split_once(char::is_whitespace).unwrap_or((after, ""));
-                (v.to_owned(), left)
+                let (v, remaining) = after.split_once(char::is_whitespace).unwrap_or((after, ""));
+                (v.to_owned(), remaining)
             }
         };
         found.insert(key, value);
-        rest = left;
+        rest = remaining;
     }
     found
 }
@@ -91,30 +90,32 @@
     (value, "")
 }
 
-/// Explains a request by its id; `None` if no line names it.
+/// Explains what decided a request; returns `None` if no line has its id.
 #[must_use]
 pub fn request<'a>(id: &str, text: impl Iterator<Item = &'a str>) -> Option<Explanation> {
-    let mine = text.filter(|l| l.contains(id)).filter_map(Line::read);
-    let mut lines: Vec<Line> = mine.filter(|l| l.field("request") == id).collect();
+    let matching = text.filter(|l| l.contains(id)).filter_map(Line::read);
+    let mut lines: Vec<Line> = matching.filter(|l| l.field("request") == id).collect();
     lines.sort_by(|a, b| a.at.cmp(&b.at));
     let verdict = request_verdict(&lines)?;
     Some(Explanation { verdict, lines })
 }
 
-/// Explains what was believed of an upstream, and when; `None` if no line names it.
+/// Explains an upstream's state over time; returns `None` if no line names it.
 #[must_use]
 pub fn upstream<'a>(name: &str, text: impl Iterator<Item = &'a str>) -> Option<Explanation> {
-    let mine = text.filter(|l| l.contains(name)).filter_map(Line::read);
-    let about = |l: &Line| ["list:", "news:", "attempt:"].iter().any(|p| l.message.starts_with(p));
-    let mut lines: Vec<Line> = mine.filter(|l| l.field("upstream") == name && about(l)).collect();
+    let matching = text.filter(|l| l.contains(name)).filter_map(Line::read);
+    let is_relevant =
+        |l: &Line| ["list:", "news:", "attempt:"].iter().any(|p| l.message.starts_with(p));
+    let mut lines: Vec<Line> =
+        matching.filter(|l| l.field("upstream") == name && is_relevant(l)).collect();
     lines.sort_by(|a, b| a.at.cmp(&b.at));
     let last = lines.last()?;
     let listed = lines.iter().rev().find(|l| l.message.starts_with("list:"));
     let state = listed.map_or("not listed", |l| l.field("state"));
     let failed = lines.iter().filter(|l| l.message.starts_with("attempt:")).count();
-    let doubted = lines.iter().filter(|l| l.message.starts_with("news:")).count();
+    let updates = lines.iter().filter(|l| l.message.starts_with("news:")).count();
     let verdict = format!(
-        "{name} was last listed as {state}; {failed} attempts failed on it and boxes heard {doubted} times of trouble; the last line is of {}",
+        "{name} was last listed as {state}; {failed} attempts failed on it and boxes heard {updates} times of trouble; the last line is of {}",
         last.at
     );
     Some(Explanation { verdict, lines })
@@ -124,35 +125,35 @@
     lines.first()?;
     let sent = lines.iter().filter(|l| l.message.contains(" sent to ")).count();
     let failed: Vec<&Line> = lines.iter().filter(|l| l.message.starts_with("attempt:")).collect();
-    let asked = last_upstream(lines);
+    let upstream = last_upstream(lines);
     let end = lines.iter().rev().find(|l| {
         l.message.starts_with("route: answered") || l.message.starts_with("route: own answer")
     });
     let Some(end) = end else {
         return Some(format!(
-            "sent {sent} times, last to {asked}; no end is on record: the caller left, the box ended, or the line was left out"
+            "sent {sent} times, last to {upstream}; no end is on record: the caller left, the box ended, or the line was left out"
         ));
     };
     let status = end.field("status");
     if end.message.starts_with("route: answered") {
         let took = end.field("took_ms");
         let retried = if failed.is_empty() { "" } else { ", after another attempt failed" };
-        let whose = if status.starts_with('2') { "answered" } else { "failed it:" };
-        return Some(format!("{asked} {whose} with {status} after {took} ms{retried}"));
+        let phrase = if status.starts_with('2') { "answered" } else { "failed it:" };
+        return Some(format!("{upstream} {phrase} with {status} after {took} ms{retried}"));
     }
     let why = end.message.trim_start_matches("route: own answer, ");
-    let ran = match end.field("outcome") {
+    let execution = match end.field("outcome") {
         "NotRun" => "it was not run",
         _ => "it may have been run, and is not sent again",
     };
     let wait = end.field("retry_after_ms");
-    let back = if wait.is_empty() {
+    let advice = if wait.is_empty() {
         String::new()
     } else {
         format!("; the caller was told to come back after {wait} ms")
     };
     let cause = failed.last().map_or_else(String::new, |l| format!(" ({})", l.message));
-    Some(format!("answered {status} by the box: {why}{cause}; {ran}{back}"))
+    Some(format!("answered {status} by the box: {why}{cause}; {execution}{advice}"))
 }
 
 fn last_upstream(lines: &[Line]) -> &str {
--- a/crates/honeypulley_observe/src/lib.rs
+++ b/crates/honeypulley_observe/src/lib.rs
@@ -1,10 +1,10 @@
-//! Logs that never block, metrics as text, and what a request's lines say.
+//! Non-blocking logs, metrics in the Prometheus text format, and log analysis.
 //!
-//! [`logs`] takes lines into a bounded ring that one thread writes out. [`metrics`]
-//! collects what cadence sends and shows it as text. [`explain`] reads log lines of
-//! many boxes and says in a sentence what decided a request or a belief; [`losses`]
-//! counts what was not served by what decided it, and [`departures`] which box learned
-//! when that an upstream left.
+//! [`logs`] queues log lines in a bounded ring that a separate thread writes out.
+//! [`metrics`] collects the metrics of a cadence client and formats them as text.
+//! [`explain`] parses the log lines of many boxes and explains what decided a request
+//! or the state of an upstream. [`losses`] counts the requests that were not served, by
+//! class, and [`departures`] shows when each box learned that an upstream left.
 
 pub mod departures;
 pub mod explain;
--- a/crates/honeypulley_observe/src/logs.rs
+++ b/crates/honeypulley_observe/src/logs.rs
@@ -1,7 +1,7 @@
-//! Log lines through a bounded ring to standard output.
+//! Non-blocking log output through a bounded ring.
 //!
-//! A line is dropped and counted when its kind is over its rate or the ring is
-//! full; nothing that serves requests ever waits for the reader of the output.
+//! A line is dropped and counted if its severity class exceeds its rate limit or the
+//! ring is full, so the threads that serve requests never wait for a slow reader.
 
 use crossbeam_queue::ArrayQueue;
 use honeypulley_policy::limits::Gcra;
@@ -18,23 +18,25 @@
 use std::thread::{self, Thread};
 use std::time::{Duration, Instant};
 
-/// Lines that the ring holds: ten seconds of both rates together.
+/// Capacity of the ring in lines: ten seconds at both rates together.
 const RING_LINES: usize = 4_096;
-/// Lines a second on what goes as it should.
+/// Rate limit of lines below level `WARN`, in lines per second.
 ///
-/// A box of the deployments serves some 4 requests a second with 3 lines each; at
-/// 370 requests a second one in five is described.
-const USUAL_RATE: f64 = 200.0;
-/// Lines a second on failures, refusals and lost dependencies.
-const FAILURE_RATE: f64 = 200.0;
-/// Lines that each kind may bring at once.
+/// A deployed box serves about 4 requests per second and logs 3 lines for each; at 370
+/// requests per second, about one request in five is logged.
+const INFO_RATE: f64 = 200.0;
+/// Rate limit of lines at `WARN` or above, in lines per second.
+///
+/// They report failures, refusals and unreachable dependencies.
+const WARN_RATE: f64 = 200.0;
+/// Burst of lines that each rate limit admits.
 const BURST: f64 = 400.0;
-/// Time between two lines on what was left out.
-const LEFT_OUT_GAP: Duration = Duration::from_secs(1);
-/// Time for which the writer gathers lines before it writes them.
-const GATHER_TIME: Duration = Duration::from_millis(20);
+/// Minimum time between two lines that report dropped lines.
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
+/// Time for which the writer collects lines into a batch.
+const BATCH_TIME: Duration = Duration::from_millis(20);
 
-/// Lines left out so far, by reason.
+/// Number of dropped lines, by reason.
 #[derive(Debug, Default)]
 pub struct LeftOut {
     rate: AtomicU64,
@@ -42,7 +44,7 @@
 }
 
 impl LeftOut {
-    /// Returns lines left out for their rate and for a full ring.
+    /// Returns the lines dropped by a rate limit and by a full ring.
     #[must_use]
     pub fn counts(&self) -> (u64, u64) {
         (self.rate.load(Ordering::Relaxed), self.full.load(Ordering::Relaxed))
@@ -53,11 +55,11 @@
     queue: ArrayQueue<Vec<u8>>,
     left_out: Arc<LeftOut>,
     closing: AtomicBool,
-    asleep: AtomicBool,
-    written: AtomicBool,
+    parked: AtomicBool,
+    finished: AtomicBool,
 }
 
-/// Accepts lines and never blocks.
+/// Appender that queues lines in the ring and never blocks.
 pub struct RingAppend {
     shared: Arc<Shared>,
     writer: Thread,
@@ -73,12 +75,12 @@
     }
 }
 
-/// Writes the rest of the lines when dropped, for a moment at most.
+/// Flushes the remaining lines when dropped, waiting 200 ms at most.
 #[derive(Debug)]
 pub struct LogGuard {
     shared: Arc<Shared>,
     writer: Thread,
-    /// Lines left out so far.
+    /// Number of dropped lines so far.
     pub left_out: Arc<LeftOut>,
 }
 
@@ -92,9 +94,9 @@
     fn drop(&mut self) {
         self.shared.closing.store(true, Ordering::Release);
         self.writer.unpark();
-        // A reader that stalls must not hold the end of the process.
+        // A stalled reader must not delay the exit of the process.
         for _ in 0..20 {
-            if self.shared.written.load(Ordering::Acquire) {
+            if self.shared.finished.load(Ordering::Acquire) {
                 return;
             }
             thread::sleep(Duration::from_millis(10));
@@ -102,8 +104,9 @@
     }
 }
 
-/// Builds the ring and starts the thread that writes it to `out`; each line ends
-/// with the name of its origin.
+/// Creates the ring and starts the thread that writes its lines to `out`.
+///
+/// Each line ends with a `box` field that holds `origin`.
 ///
 /// # Errors
 /// Returns an error if the thread can't be started.
@@ -115,14 +118,14 @@
         queue: ArrayQueue::new(RING_LINES),
         left_out: Arc::default(),
         closing: AtomicBool::new(false),
-        asleep: AtomicBool::new(false),
-        written: AtomicBool::new(false),
+        parked: AtomicBool::new(false),
+        finished: AtomicBool::new(false),
     });
-    let back = Arc::clone(&shared);
+    let writer_shared = Arc::clone(&shared);
     let name = origin.to_owned();
     let writer = thread::Builder::new()
         .name("log".to_owned())
-        .spawn(move || write_on(&back, &name, out))?
+        .spawn(move || run_writer(&writer_shared, &name, out))?
         .thread()
         .clone();
     let append = RingAppend {
@@ -131,7 +134,7 @@
         layout: LogfmtLayout::default(),
         origin: origin.to_owned(),
         began: Instant::now(),
-        limits: Mutex::new((Gcra::new(USUAL_RATE), Gcra::new(FAILURE_RATE))),
+        limits: Mutex::new((Gcra::new(INFO_RATE), Gcra::new(WARN_RATE))),
     };
     let left_out = Arc::clone(&shared.left_out);
     Ok((append, LogGuard { shared, writer, left_out }))
@@ -140,13 +143,13 @@
 impl Append for RingAppend {
     fn append(&self, record: &Record<'_>, diags: &[Box<dyn Diagnostic>]) -> Result<(), Error> {
         let now = Time::from_micros(self.began.elapsed().as_micros() as u64);
-        let within = {
+        let admitted = {
             let mut limits = self.limits.lock();
             let failure = record.level() >= Level::Warn;
             let limit = if failure { &mut limits.1 } else { &mut limits.0 };
             limit.take(BURST, now).is_ok()
         };
-        if !within {
+        if !admitted {
             self.shared.left_out.rate.fetch_add(1, Ordering::Relaxed);
             return Ok(());
         }
@@ -156,7 +159,7 @@
             self.shared.left_out.full.fetch_add(1, Ordering::Relaxed);
             return Ok(());
         }
-        if self.shared.asleep.swap(false, Ordering::AcqRel) {
+        if self.shared.parked.swap(false, Ordering::AcqRel) {
             self.writer.unpark();
         }
         Ok(())
@@ -167,35 +170,35 @@
     }
 }
 
-fn write_on(shared: &Shared, origin: &str, mut out: impl Write) {
-    let (mut told, mut told_at) = ((0, 0), Instant::now());
+fn run_writer(shared: &Shared, origin: &str, mut out: impl Write) {
+    let (mut reported, mut reported_at) = ((0, 0), Instant::now());
     loop {
         let mut batch = Vec::new();
         while let Some(line) = shared.queue.pop() {
             batch.extend_from_slice(&line);
         }
         let counts = shared.left_out.counts();
-        if counts != told && told_at.elapsed() > LEFT_OUT_GAP {
-            let (rate, full) = (counts.0 - told.0, counts.1 - told.1);
+        if counts != reported && reported_at.elapsed() > REPORT_INTERVAL {
+            let (rate, full) = (counts.0 - reported.0, counts.1 - reported.1);
             let line = format!(
                 "level=WARN message=\"log: lines left out\" over_rate={rate} ring_full={full} box={origin}\n"
             );
             batch.extend_from_slice(line.as_bytes());
-            (told, told_at) = (counts, Instant::now());
+            (reported, reported_at) = (counts, Instant::now());
         }
-        // There is nobody to tell of an output that is closed.
+        // Errors are ignored: if the output is closed, they can't be reported anywhere.
         let _ = out.write_all(&batch).and_then(|()| out.flush());
         if shared.closing.load(Ordering::Acquire) && shared.queue.is_empty() {
-            shared.written.store(true, Ordering::Release);
+            shared.finished.store(true, Ordering::Release);
             return;
         }
-        shared.asleep.store(true, Ordering::Release);
+        shared.parked.store(true, Ordering::Release);
         if shared.queue.is_empty() {
             thread::park();
         }
-        shared.asleep.store(false, Ordering::Release);
+        shared.parked.store(false, Ordering::Release);
         if !shared.closing.load(Ordering::Acquire) {
-            thread::sleep(GATHER_TIME);
+            thread::sleep(BATCH_TIME);
         }
     }
 }
--- a/crates/honeypulley_observe/src/losses.rs
+++ b/crates/honeypulley_observe/src/losses.rs
@@ -1,88 +1,92 @@
-//! Which requests were lost, by what decided their first send.
+//! Counts unserved requests, grouped by the decision on their first attempt.
 //!
-//! It answers where a fleet loses most: by kind, by the reason of the first choice, by
-//! what was believed of the upstream then, and by whether a retry was denied.
+//! The groups show where a fleet loses most requests: by service, by the reason for which
+//! the first upstream was selected, and by whether a retry was denied. Each row also shows
+//! the load of that upstream and the probability that it was unhealthy, as its box knew
+//! them at the selection.
 
 use crate::explain::Line;
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap};
 
-/// How a request ended, as its box saw it.
+/// Outcome of a request, as its box recorded it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub enum End {
-    /// No end is on record: its caller left, or the box ended.
+    /// No outcome was logged: the caller disconnected or the box stopped.
     #[default]
     None,
-    /// An upstream's answer that is no failure.
+    /// An upstream answered without a failure.
     Served,
-    /// An upstream's own failure.
+    /// An upstream answered with a failure.
     Failed,
-    /// Our answer that it was not run.
+    /// The box answered that the request was not run.
     Refused,
-    /// Our answer that nothing is known of it.
+    /// The box answered that the request may have been run.
     Unknown,
 }
 
-/// Which requests are counted together.
+/// Properties by which requests are grouped.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct Class {
-    /// Service.
+    /// Name of the service.
     pub service: String,
-    /// Whether it might be sent to a second upstream.
+    /// Whether a retry or hedge to a second upstream was allowed.
     pub resendable: bool,
-    /// Reason of the first choice.
+    /// Reason for which the first upstream was selected.
     pub reason: String,
-    /// Upstreams that it was sent to.
+    /// Number of attempts sent.
     pub sends: usize,
-    /// Whether a further send was denied by the retry budget.
+    /// Whether the retry budget denied a retry.
     pub denied: bool,
-    /// How it ended.
+    /// Outcome.
     pub end: End,
 }
 
-/// Requests of one class.
+/// Statistics of the requests of one class.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Row {
-    /// Class.
+    /// Properties that the requests share.
     #[serde(flatten)]
     pub class: Class,
-    /// How many.
+    /// Number of requests.
     pub requests: usize,
-    /// Middle of the chance of sickness that was believed at the first choice.
+    /// Median estimated probability that the first upstream was unhealthy when selected.
     pub sick: f64,
-    /// Middle of the requests known to be at the upstream at the first choice.
+    /// Median known number of requests in flight at the first upstream when selected.
     pub busy: f64,
-    /// Middle of the time from the first send to the end, in ms.
+    /// Median time from the first attempt to an upstream's answer, in ms.
+    ///
+    /// Requests without such an answer count as zero.
     pub took_ms: u64,
 }
 
-/// What the lines of one request say.
+/// What the log lines of one request record.
 #[derive(Clone, Debug, Default)]
-struct Walk {
+struct Trace {
     class: Class,
     sick: f64,
     busy: f64,
     took_ms: u64,
 }
 
-/// Counts the requests in log lines, by class, the largest first.
+/// Counts the requests in log lines by class, the largest class first.
 pub fn count<'a>(text: impl Iterator<Item = &'a str>) -> Vec<Row> {
-    let mut walks: HashMap<String, Walk> = HashMap::new();
+    let mut traces: HashMap<String, Trace> = HashMap::new();
     for line in text.filter(|l| l.contains("request=")).filter_map(Line::read) {
-        let walk = walks.entry(line.field("request").to_owned()).or_default();
-        walk.take(&line);
+        let trace = traces.entry(line.field("request").to_owned()).or_default();
+        trace.record(&line);
     }
-    let mut by_class: BTreeMap<Class, Vec<Walk>> = BTreeMap::new();
-    for walk in walks.into_values() {
-        by_class.entry(walk.class.clone()).or_default().push(walk);
+    let mut by_class: BTreeMap<Class, Vec<Trace>> = BTreeMap::new();
+    for trace in traces.into_values() {
+        by_class.entry(trace.class.clone()).or_default().push(trace);
     }
     let mut rows: Vec<Row> = by_class.into_iter().map(|(class, all)| row(class, &all)).collect();
     rows.sort_by_key(|r| std::cmp::Reverse(r.requests));
     rows
 }
 
-fn row(class: Class, all: &[Walk]) -> Row {
-    let middle = |of: fn(&Walk) -> f64| {
+fn row(class: Class, all: &[Trace]) -> Row {
+    let median = |of: fn(&Trace) -> f64| {
         let mut values: Vec<f64> = all.iter().map(of).collect();
         values.sort_by(f64::total_cmp);
         values[values.len() / 2]
@@ -90,48 +94,50 @@
     Row {
         class,
         requests: all.len(),
-        sick: middle(|w| w.sick),
-        busy: middle(|w| w.busy),
-        took_ms: middle(|w| w.took_ms as f64) as u64,
+        sick: median(|t| t.sick),
+        busy: median(|t| t.busy),
+        took_ms: median(|t| t.took_ms as f64) as u64,
     }
 }
 
-impl Walk {
-    fn take(&mut self, line: &Line) {
+impl Trace {
+    fn record(&mut self, line: &Line) {
         let message = line.message.as_str();
         if message.starts_with("route:") && message.contains(" sent to ") {
-            self.sent(line);
+            self.record_send(line);
         } else if message.contains("the retry budget is spent") {
             self.class.denied = true;
         } else if message.starts_with("route: answered") {
-            let is_failure = number(line, "status") >= 500.0;
+            let is_failure = numeric_field(line, "status") >= 500.0;
             self.class.end = if is_failure { End::Failed } else { End::Served };
-            self.took_ms = number(line, "took_ms") as u64;
+            self.took_ms = numeric_field(line, "took_ms") as u64;
         } else if message.starts_with("route: own answer") {
             let not_run = line.field("outcome") == "NotRun";
             self.class.end = if not_run { End::Refused } else { End::Unknown };
         }
     }
 
-    fn sent(&mut self, line: &Line) {
+    fn record_send(&mut self, line: &Line) {
         if self.class.sends == 0 {
             self.class.service = line.field("service").to_owned();
             self.class.reason = line.field("reason").to_owned();
-            let attempts = number(line, "attempts");
+            let attempts = numeric_field(line, "attempts");
             self.class.resendable = line.field("repeatable") == "true" && attempts > 1.0;
-            self.sick = number(line, "sick");
-            self.busy = number(line, "busy");
+            self.sick = numeric_field(line, "sick");
+            self.busy = numeric_field(line, "busy");
         }
         self.class.sends += 1;
     }
 }
 
-/// Returns a field as a number; zero where the line has none, as for unsent requests.
-fn number(line: &Line, name: &str) -> f64 {
+/// Parses a numeric field; returns zero if it is missing or malformed.
+///
+/// Requests that were never sent lack these fields.
+fn numeric_field(line: &Line, name: &str) -> f64 {
     line.field(name).parse().unwrap_or_default()
 }
 
-/// Returns a table of what was not served, and one line on all requests.
+/// Formats a summary line, and a table of the classes that were not served.
 #[must_use]
 pub fn page(rows: &[Row]) -> String {
     let all: usize = rows.iter().map(|r| r.requests).sum();
--- a/crates/honeypulley_observe/src/metrics.rs
+++ b/crates/honeypulley_observe/src/metrics.rs
@@ -1,8 +1,7 @@
-//! Counters, gauges and latency histograms as text.
+//! Counters, gauges and latency histograms in the text format of Prometheus.
 //!
-//! [`Registry`] is a sink for cadence's client, so that the code counts in one way
-//! whether a `StatsD` server or a page of text takes it. The page has the format that
-//! Prometheus reads.
+//! [`Registry`] is a sink for a cadence client, so that the same instrumentation serves
+//! both a `StatsD` server and a Prometheus endpoint.
 
 use cadence::MetricSink;
 use std::collections::BTreeMap;
@@ -10,13 +9,14 @@
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Most series that are kept; what is beyond is counted as one.
+/// Maximum number of series; further ones are counted in a single overflow counter.
 ///
-/// Ten names with 200 services each; a box never sees more than its subset.
+/// The limit allows for ten names with 200 services each; a box handles only a subset
+/// of the services.
 const MAX_SERIES: usize = 2_000;
-/// Upper bounds of the histogram's buckets, in milliseconds.
+/// Upper bounds of the histogram buckets, in milliseconds.
 const BUCKETS: [u64; 11] = [5, 10, 25, 50, 100, 250, 500, 1_000, 2_500, 5_000, 10_000];
-/// Name of the counter of what has no series of its own.
+/// Name of the counter for metrics beyond [`MAX_SERIES`].
 const OVERFLOW: &str = "honeypulley_metrics_overflow_total";
 
 #[derive(Clone, Debug, Default)]
@@ -33,7 +33,7 @@
     Timer(Box<Histogram>),
 }
 
-/// Metrics of one process.
+/// Collects the metrics of one process.
 #[derive(Clone, Debug, Default)]
 pub struct Registry {
     series: Arc<Mutex<BTreeMap<(String, String), Series>>>,
@@ -41,19 +41,19 @@
 
 impl MetricSink for Registry {
     fn emit(&self, metric: &str) -> io::Result<usize> {
-        metric.lines().for_each(|line| self.take(line));
+        metric.lines().for_each(|line| self.record(line));
         Ok(metric.len())
     }
 }
 
 impl Registry {
     fn lock(&self) -> MutexGuard<'_, BTreeMap<(String, String), Series>> {
-        // The map is whole after each of its changes, whoever panicked since.
+        // Poisoning is ignored: no update can leave the map inconsistent.
         self.series.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Records one metric in the form of `StatsD`, `NAME:VALUE|TYPE|#TAGS`.
-    fn take(&self, line: &str) {
+    /// Records a metric in the `StatsD` format `NAME:VALUE|TYPE|#TAGS`.
+    fn record(&self, line: &str) {
         let Some((name, rest)) = line.split_once(':') else { return };
         let mut parts = rest.split('|');
         let (Some(value), Some(kind)) = (parts.next(), parts.next()) else { return };
@@ -63,13 +63,13 @@
         let key = (name, labels);
         if series.len() >= MAX_SERIES && !series.contains_key(&key) {
             let over = (OVERFLOW.to_owned(), String::new());
-            count(series.entry(over).or_insert(Series::Counter(0)), 1);
+            add_count(series.entry(over).or_insert(Series::Counter(0)), 1);
             return;
         }
         match kind {
             "c" => {
                 let n = value.parse().unwrap_or(0);
-                count(series.entry(key).or_insert(Series::Counter(0)), n);
+                add_count(series.entry(key).or_insert(Series::Counter(0)), n);
             }
             "g" => {
                 let v = value.parse().unwrap_or(f64::NAN);
@@ -86,19 +86,21 @@
         }
     }
 
-    /// Returns all metrics as text.
+    /// Formats all metrics as text.
     #[must_use]
     pub fn text(&self) -> String {
         let series = self.lock().clone();
         let mut out = String::new();
         for ((name, labels), s) in &series {
-            // Writing to a string can't fail.
+            // Writing to a `String` never fails.
             let _ = match s {
                 Series::Counter(n) if name.ends_with("_total") => {
-                    writeln!(out, "{name}{} {n}", braced(labels, ""))
+                    writeln!(out, "{name}{} {n}", format_labels(labels, ""))
                 }
-                Series::Counter(n) => writeln!(out, "{name}_total{} {n}", braced(labels, "")),
-                Series::Gauge(v) => writeln!(out, "{name}{} {v}", braced(labels, "")),
+                Series::Counter(n) => {
+                    writeln!(out, "{name}_total{} {n}", format_labels(labels, ""))
+                }
+                Series::Gauge(v) => writeln!(out, "{name}{} {v}", format_labels(labels, "")),
                 Series::Timer(h) => h.write(name, labels, &mut out),
             };
         }
@@ -118,21 +120,21 @@
     fn write(&self, name: &str, labels: &str, out: &mut String) -> std::fmt::Result {
         for (n, bound) in self.buckets.iter().zip(BUCKETS) {
             let le = format!("le=\"{bound}\"");
-            writeln!(out, "{name}_bucket{} {n}", braced(labels, &le))?;
+            writeln!(out, "{name}_bucket{} {n}", format_labels(labels, &le))?;
         }
-        writeln!(out, "{name}_bucket{} {}", braced(labels, "le=\"+Inf\""), self.count)?;
-        writeln!(out, "{name}_sum{} {}", braced(labels, ""), self.sum)?;
-        writeln!(out, "{name}_count{} {}", braced(labels, ""), self.count)
+        writeln!(out, "{name}_bucket{} {}", format_labels(labels, "le=\"+Inf\""), self.count)?;
+        writeln!(out, "{name}_sum{} {}", format_labels(labels, ""), self.sum)?;
+        writeln!(out, "{name}_count{} {}", format_labels(labels, ""), self.count)
     }
 }
 
-fn count(s: &mut Series, n: i64) {
+fn add_count(s: &mut Series, n: i64) {
     if let Series::Counter(c) = s {
         *c += n;
     }
 }
 
-/// Turns `a:b,c:d` into `a="b",c="d"`.
+/// Converts tags `a:b,c:d` to labels `a="b",c="d"`.
 fn labels(tags: &str) -> String {
     let label = |t: &str| {
         let (k, v) = t.split_once(':').unwrap_or((t, ""));
@@ -141,7 +143,7 @@
     tags.split(',').map(label).collect::<Vec<_>>().join(",")
 }
 
-fn braced(labels: &str, more: &str) -> String {
+fn format_labels(labels: &str, more: &str) -> String {
     match (labels.is_empty(), more.is_empty()) {
         (true, true) => String::new(),
         (true, false) => format!("{{{more}}}"),
--- a/crates/honeypulley_observe/tests/departures.rs
+++ b/crates/honeypulley_observe/tests/departures.rs
@@ -1,4 +1,4 @@
-//! What the boxes logged of a departure tells who heard late, and who never did.
+//! The report on departures shows which boxes learned late, or never.
 
 use honeypulley_observe::departures;
 
@@ -15,16 +15,16 @@
 "#;
 
 #[test]
-fn a_departure_counts_from_the_first_box_that_heard() {
+fn delays_count_from_the_first_box_that_learned() {
     let found = departures::read(LINES.lines());
-    let [d] = &found[..] else { panic!("one left: {found:?}") };
+    let [d] = &found[..] else { panic!("exactly one departure: {found:?}") };
     assert_eq!((d.upstream.as_str(), d.heard, d.last_ms), ("i-1", 2, 1_200));
     assert_eq!(d.last, ("b".to_owned(), "10.0.0.9:7".to_owned()));
     assert_eq!(d.never, ["c"]);
 }
 
 #[test]
-fn the_page_says_first_how_late_the_last_box_heard() {
+fn the_page_starts_with_the_longest_delay() {
     let page = departures::page(&departures::read(LINES.lines()));
     let first = "1 departures, the slowest to the last box after 1200 ms; 1 not heard by every box";
     assert!(page.starts_with(first), "{page}");
--- a/crates/honeypulley_observe/tests/explain.rs
+++ b/crates/honeypulley_observe/tests/explain.rs
@@ -1,9 +1,9 @@
-//! The command finds what decided from the lines alone.
+//! Requests and upstreams are explained from log lines alone.
 
 use honeypulley_observe::explain;
 use rstest::rstest;
 
-const RAN: &str = r#"
+const LINES: &str = r#"
    4.0001 box-a timestamp=2026-12-02T10:00:00.100Z level=INFO module=x position=y:1 message="route: first sent to i-7" request=r1 service=s upstream=i-7 sick=0.02 box=a
    4.2001 box-a timestamp=2026-12-02T10:00:00.300Z level=WARN message="attempt: i-7 failed, outcome unknown: exchange: reset" request=r1 service=s upstream=i-7 box=a
    4.2002 box-a timestamp=2026-12-02T10:00:00.301Z level=WARN message="route: own answer, exchange: \"reset\"" request=r1 status=502 outcome=Unknown retry_after_ms=1000 box=a
@@ -31,14 +31,14 @@
     "r4",
     "sent 1 times, last to i-9; no end is on record: the caller left, the box ended, or the line was left out"
 )]
-fn a_request_is_explained_in_a_sentence(#[case] id: &str, #[case] want: &str) {
-    let found = explain::request(id, RAN.lines()).expect("it is there");
-    assert_eq!(found.verdict, want);
+fn a_request_is_explained_in_a_sentence(#[case] id: &str, #[case] expected: &str) {
+    let found = explain::request(id, LINES.lines()).expect("the log names it");
+    assert_eq!(found.verdict, expected);
 }
 
 #[test]
-fn the_lines_of_many_boxes_stand_in_order() {
-    let found = explain::upstream("i-7", RAN.lines()).expect("it is there");
+fn lines_of_many_boxes_are_sorted_by_time() {
+    let found = explain::upstream("i-7", LINES.lines()).expect("the log names it");
     let order: Vec<(&str, &str)> =
         found.lines.iter().map(|l| (l.origin.as_str(), l.message.as_str())).collect();
     assert_eq!(
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn what_no_line_names_is_not_explained() {
-    assert_eq!(explain::request("r", RAN.lines()), None, "an id is compared whole");
-    assert_eq!(explain::upstream("i-99", RAN.lines()), None);
+fn unknown_names_are_not_explained() {
+    assert_eq!(explain::request("r", LINES.lines()), None, "an id must match in full");
+    assert_eq!(explain::upstream("i-99", LINES.lines()), None);
 }
--- a/crates/honeypulley_observe/tests/logs.rs
+++ b/crates/honeypulley_observe/tests/logs.rs
@@ -1,4 +1,4 @@
-//! A log whose reader stalls never holds a writer up.
+//! A stalled reader of the log never blocks the threads that write to it.
 
 use honeypulley_observe::logs;
 use logforth::append::Append;
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// An output that is never read.
+/// Output whose writes block, as if its reader had stalled.
 struct Stalled;
 
 impl Write for Stalled {
@@ -21,13 +21,13 @@
     }
 }
 
-/// An output that keeps what it gets.
+/// Output that stores everything written to it.
 #[derive(Clone, Default)]
-struct Kept(Arc<Mutex<Vec<u8>>>);
+struct Captured(Arc<Mutex<Vec<u8>>>);
 
-impl Write for Kept {
+impl Write for Captured {
     fn write(&mut self, b: &[u8]) -> io::Result<usize> {
-        self.0.lock().expect("no holder panics").extend_from_slice(b);
+        self.0.lock().expect("the lock is not poisoned").extend_from_slice(b);
         Ok(b.len())
     }
 
@@ -36,9 +36,9 @@
     }
 }
 
-impl Kept {
+impl Captured {
     fn text(&self) -> String {
-        String::from_utf8_lossy(&self.0.lock().expect("no holder panics")).into_owned()
+        String::from_utf8_lossy(&self.0.lock().expect("the lock is not poisoned")).into_owned()
     }
 }
 
@@ -46,26 +46,26 @@
     for i in 0..n {
         let line = Record::builder().level(level);
         to.append(&line.payload(format_args!("route: line {i}")).build(), &[])
-            .expect("taken or dropped");
+            .expect("a line is queued or dropped without an error");
     }
 }
 
 #[test]
-fn a_stalled_reader_holds_nobody_up() {
-    let (append, guard) = logs::ring("box1", Stalled).expect("started");
+fn a_stalled_reader_blocks_no_writer() {
+    let (append, guard) = logs::ring("box1", Stalled).expect("the writer thread starts");
     let began = Instant::now();
     for _ in 0..20 {
         write(&append, Level::Info, 1_000);
     }
     assert!(began.elapsed() < Duration::from_secs(2), "{:?}", began.elapsed());
     drop(guard);
-    assert!(began.elapsed() < Duration::from_secs(3), "the end is not held either");
+    assert!(began.elapsed() < Duration::from_secs(3), "dropping the guard does not block either");
 }
 
 #[test]
-fn lines_come_in_order_with_their_box_and_the_last_before_the_end() {
-    let out = Kept::default();
-    let (append, guard) = logs::ring("box1", out.clone()).expect("started");
+fn lines_are_written_in_order_with_their_box_until_the_last() {
+    let out = Captured::default();
+    let (append, guard) = logs::ring("box1", out.clone()).expect("the writer thread starts");
     write(&append, Level::Info, 50);
     drop(guard);
     let text = out.text();
@@ -76,14 +76,14 @@
 }
 
 #[test]
-fn too_many_usual_lines_are_left_out_and_failures_are_kept() {
-    let out = Kept::default();
-    let (append, guard) = logs::ring("box1", out.clone()).expect("started");
+fn excess_info_lines_are_dropped_and_failures_are_kept() {
+    let out = Captured::default();
+    let (append, guard) = logs::ring("box1", out.clone()).expect("the writer thread starts");
     write(&append, Level::Info, 2_000);
     write(&append, Level::Warn, 100);
     let (rate, full) = guard.left_out.counts();
     drop(guard);
-    assert!(rate >= 1_500, "{rate} of 2,000 at once were over the rate");
+    assert!(rate >= 1_500, "{rate} of 2,000 lines written at once exceeded the rate");
     assert_eq!(full, 0);
     let failures = out
         .text()
--- a/crates/honeypulley_observe/tests/losses.rs
+++ b/crates/honeypulley_observe/tests/losses.rs
@@ -1,4 +1,4 @@
-//! Lost requests are classed by what decided their first send.
+//! Requests that were not served are grouped by the decision on their first attempt.
 
 use honeypulley_observe::losses::{self, End};
 
@@ -15,10 +15,11 @@
 "#;
 
 #[test]
-fn each_request_counts_once_by_its_class() {
+fn each_request_is_counted_in_one_class() {
     let rows = losses::count(LINES.lines());
     assert_eq!(rows.iter().map(|r| r.requests).sum::<usize>(), 4);
-    let find = |end: End| rows.iter().find(|r| r.class.end == end).expect("there is one");
+    let find =
+        |end: End| rows.iter().find(|r| r.class.end == end).expect("a class with this outcome");
     let unknown = find(End::Unknown);
     assert!(unknown.class.denied && unknown.class.resendable);
     let failed = find(End::Failed);
@@ -28,7 +29,7 @@
 }
 
 #[test]
-fn the_page_leaves_out_what_was_served() {
+fn the_page_omits_served_requests() {
     let page = losses::page(&losses::count(LINES.lines()));
     assert!(page.starts_with("4 requests, 3 not served\n"), "{page}");
     assert_eq!(page.lines().count(), 5, "{page}");
--- a/crates/honeypulley_observe/tests/metrics.rs
+++ b/crates/honeypulley_observe/tests/metrics.rs
@@ -1,18 +1,18 @@
-//! What cadence sends stands on the page.
+//! Metrics of a cadence client appear in the text of the registry.
 
 use cadence::{Counted, CountedExt, Gauged, StatsdClient, Timed};
 use honeypulley_observe::metrics::Registry;
 
 #[test]
-fn counters_gauges_and_histograms_stand_on_the_page() {
+fn counters_gauges_and_histograms_are_formatted() {
     let registry = Registry::default();
     let client = StatsdClient::from_sink("honeypulley", registry.clone());
-    client.incr("requests").expect("sent");
-    client.count("requests", 2).expect("sent");
+    client.incr("requests").expect("the registry accepts every metric");
+    client.count("requests", 2).expect("the registry accepts every metric");
     client.count_with_tags("attempts", 1).with_tag("service", "a").with_tag("kind", "first").send();
-    client.gauge("open", 7).expect("sent");
-    client.time("duration_ms", 30).expect("sent");
-    client.time("duration_ms", 700).expect("sent");
+    client.gauge("open", 7).expect("the registry accepts every metric");
+    client.time("duration_ms", 30).expect("the registry accepts every metric");
+    client.time("duration_ms", 700).expect("the registry accepts every metric");
     let text = registry.text();
     for line in [
         "honeypulley_requests_total 3",
@@ -37,5 +37,8 @@
     }
     let text = registry.text();
     assert!(text.lines().count() <= 2_001, "{}", text.lines().count());
-    assert!(text.contains("honeypulley_metrics_overflow_total 3000"), "the rest is counted");
+    assert!(
+        text.contains("honeypulley_metrics_overflow_total 3000"),
+        "series beyond the limit are counted"
+    );
 }
