--- a/crates/honeypulley_operator/src/cli.rs
+++ b/crates/honeypulley_operator/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command line of the operators' tool.
 
 use crate::report::FleetPage;
 use crate::settings::Settings;
@@ -12,102 +12,106 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Returns the command line's shape.
+/// Returns the definition of the command line.
 #[must_use]
 pub fn command() -> Command {
     Command::new("honeypulley")
-        .about("Drives a fleet by signed bundles and shows what is in force")
+        .about("Configures a fleet by signed bundles and shows its status")
         .version(env!("CARGO_PKG_VERSION"))
         .after_help(EXAMPLES)
         .subcommand_required(true)
         .subcommand(bundle_command())
         .subcommand(
             Command::new("keygen")
-                .about("Makes a key; prints the public part")
-                .arg(name())
-                .arg(file("key", "Where the secret key goes; must not exist").long("key")),
+                .about("Generates a key pair and prints the public key")
+                .arg(name_arg())
+                .arg(
+                    file_arg("key", "File to write the secret key to; must not exist").long("key"),
+                ),
         )
         .subcommand(roll_out_command())
         .subcommand(
             Command::new("status")
-                .about("Shows boxes, versions and upstreams")
-                .arg(settings())
-                .arg(flag("json", "Prints JSON")),
+                .about("Shows the status of boxes and upstreams and the versions in force")
+                .arg(settings_arg())
+                .arg(flag_arg("json", "Prints JSON")),
         )
         .subcommand(why_command())
         .subcommand(losses_command())
         .subcommand(departures_command())
-        .subcommand(Command::new("completions").about("Prints completions").arg(
+        .subcommand(Command::new("completions").about("Prints shell completions").arg(
             Arg::new("shell").required(true).value_parser(value_parser!(clap_complete::Shell)),
         ))
 }
 
 fn bundle_command() -> Command {
-    let bundle = || file("bundle", "The bundle");
+    let bundle = || file_arg("bundle", "Bundle file");
     Command::new("bundle")
-        .about("Checks and signs bundles")
+        .about("Validates and signs bundles")
         .subcommand_required(true)
         .subcommand(
-            Command::new("check").about("Checks a bundle and changes nothing").arg(bundle()),
+            Command::new("check")
+                .about("Validates a bundle without changing anything")
+                .arg(bundle()),
         )
         .subcommand(
             Command::new("sign")
-                .about("Signs a bundle off; writes FILE.sig beside it")
+                .about("Signs a bundle and writes the signature to FILE.sig")
                 .arg(bundle())
-                .arg(name())
-                .arg(file("key", "Your secret key").long("key")),
+                .arg(name_arg())
+                .arg(file_arg("key", "File of your secret key").long("key")),
         )
 }
 
-fn logs() -> Arg {
+fn log_arg() -> Arg {
     Arg::new("log")
         .long("log")
         .value_name("FILE")
         .action(ArgAction::Append)
         .value_parser(value_parser!(PathBuf))
-        .help("Log of a box; may be given again; without any, standard input is read")
+        .help("Log file of a box; may be repeated; defaults to standard input")
 }
 
 fn losses_command() -> Command {
     Command::new("losses")
-        .about("Counts from the boxes' logs what was not served, by what decided it")
+        .about("Counts the requests that were not served, by class, from the logs of the boxes")
         .after_help(
-            "Columns: requests of a class, service, whether a second upstream was allowed, the \
-             reason of the first choice, sends, whether a further one was denied, how it ended; \
-             of the first choice the middle belief in sickness and requests known there.",
+            "Columns: number of requests, service, whether a second upstream was allowed, why the \
+             first upstream was selected, attempts, whether a retry was denied, outcome; medians \
+             of the first upstream's probability of being unhealthy, its requests in flight, and time.",
         )
-        .arg(logs())
-        .arg(flag("json", "Prints JSON, what was served included"))
+        .arg(log_arg())
+        .arg(flag_arg("json", "Prints JSON, including served requests"))
 }
 
 fn departures_command() -> Command {
     Command::new("departures")
-        .about("Says from the boxes' logs which box heard when that an upstream left")
+        .about("Shows from the logs when each box learned that an upstream left")
         .after_help(
-            "Times run from the first box that heard, by the boxes' clocks. Boxes that held the \
-             upstream for live and have no line that it left come last in a row.",
+            "Delays count from the first box that learned of it, by the clocks of the boxes. Boxes \
+             that logged the upstream as live but never that it left come last in a row.",
         )
-        .arg(logs())
-        .arg(flag("json", "Prints JSON"))
+        .arg(log_arg())
+        .arg(flag_arg("json", "Prints JSON"))
 }
 
 fn why_command() -> Command {
     Command::new("why")
-        .about("Says from the boxes' logs what decided a request, or a belief about an upstream")
+        .about("Explains from the logs what decided a request or the state of an upstream")
         .after_help(
-            "With --settings, the boxes are asked instead: honeypulley why SERVICE UPSTREAM -s FILE",
+            "With --settings, queries the boxes instead: honeypulley why SERVICE UPSTREAM -s FILE",
         )
         .arg(
             Arg::new("subject")
                 .num_args(1..=2)
                 .value_name("REQUEST-ID")
                 .required_unless_present("upstream")
-                .help("Id of a request"),
+                .help("ID of a request"),
         )
         .arg(Arg::new("upstream").long("upstream").value_name("NAME").help("Name of an upstream"))
-        .arg(logs())
-        .arg(flag("json", "Prints JSON"))
-        .arg(settings().required(false))
+        .arg(log_arg())
+        .arg(flag_arg("json", "Prints JSON"))
+        .arg(settings_arg().required(false))
 }
 
 fn roll_out_command() -> Command {
@@ -115,30 +119,30 @@
         .long("timeout")
         .default_value("30s")
         .value_parser(|s: &str| parse::duration(s))
-        .help("Longest wait");
+        .help("Maximum time to wait");
     Command::new("roll-out")
-        .about("Has a signed bundle accepted")
-        .arg(file("bundle", "The bundle, with FILE.sig beside it"))
-        .arg(settings())
-        .arg(flag("wait", "Waits until every live box has it in force"))
+        .about("Rolls out a signed bundle")
+        .arg(file_arg("bundle", "Bundle file, with its signature in FILE.sig"))
+        .arg(settings_arg())
+        .arg(flag_arg("wait", "Waits until the bundle is in force on every live box"))
         .arg(timeout)
 }
 
-fn file(name: &'static str, help: &'static str) -> Arg {
+fn file_arg(name: &'static str, help: &'static str) -> Arg {
     let path = value_parser!(PathBuf);
     Arg::new(name).required(true).value_name("FILE").value_parser(path).help(help)
 }
 
-fn flag(name: &'static str, help: &'static str) -> Arg {
+fn flag_arg(name: &'static str, help: &'static str) -> Arg {
     Arg::new(name).long(name).action(ArgAction::SetTrue).help(help)
 }
 
-fn settings() -> Arg {
-    file("settings", "Operators' settings, in INI").long("settings").short('s')
+fn settings_arg() -> Arg {
+    file_arg("settings", "Operator settings, an INI file").long("settings").short('s')
 }
 
-fn name() -> Arg {
-    let help = "Your name, as in the lists of signers";
+fn name_arg() -> Arg {
+    let help = "Your name, as in the lists of trusted signers";
     Arg::new("name").long("name").required(true).help(help)
 }
 
@@ -153,14 +157,14 @@
   honeypulley losses --log box1.log --log box2.log
   honeypulley departures --log box1.log --log box2.log
 
-Exit codes: 0 done, 1 not done (the reason is on standard error), 2 usage.";
+Exit codes: 0 success, 1 failure (the reason is on standard error), 2 usage.";
 
-/// Runs what the command line asks for.
+/// Runs the requested subcommand.
 ///
 /// # Errors
-/// Returns what went wrong, in one line for a person.
+/// Returns an error if the subcommand fails.
 pub fn run(args: &ArgMatches) -> Result<()> {
-    let (name, sub) = args.subcommand().expect("clap asks for one");
+    let (name, sub) = args.subcommand().expect("a subcommand is required");
     match name {
         "bundle" => run_bundle(sub),
         "keygen" => {
@@ -186,17 +190,17 @@
 }
 
 fn run_bundle(args: &ArgMatches) -> Result<()> {
-    let (name, sub) = args.subcommand().expect("clap asks for one");
+    let (name, sub) = args.subcommand().expect("a subcommand is required");
     let file = path(sub, "bundle");
     if name == "sign" {
-        let off = keys::sign(file, text(sub, "name"), path(sub, "key"))?;
-        println!("{}: signed off by {}", off.display(), text(sub, "name"));
+        let signature = keys::sign(file, text(sub, "name"), path(sub, "key"))?;
+        println!("{}: signed by {}", signature.display(), text(sub, "name"));
         return Ok(());
     }
     let (bundle, split) = keys::read_bundle(file)?;
     let (services, parts) = (bundle.services().count(), split.parts.len());
     println!(
-        "{}: fine: {services} services, {parts} parts, manifest {}",
+        "{}: valid: {services} services, {parts} parts, manifest {}",
         file.display(),
         split.manifest.digest()
     );
@@ -210,12 +214,12 @@
     }
     let roster = fleet::roster(s, &platform).await?;
     let accepted = read_head(&platform).await.ok().flatten().map(|h| h.head.version.0);
-    let page = FleetPage::new(accepted, fleet::ask_all(s, &roster).await);
+    let page = FleetPage::new(accepted, fleet::query_all(s, &roster).await);
     match name {
         "why" => {
             let named: Vec<&String> = args.get_many("subject").into_iter().flatten().collect();
             let [service, upstream] = named[..] else {
-                bail!("why: name a service and one of its upstreams");
+                bail!("why: expected a service and the name of one of its upstreams");
             };
             print!("{}", page.why(service, upstream));
         }
@@ -226,24 +230,25 @@
 }
 
 async fn roll_out(args: &ArgMatches, s: &Settings, p: &HttpPlatform) -> Result<()> {
-    let in_force = fleet::newest(s, p).await;
+    let in_force = fleet::newest_version(s, p).await;
     let accepted = rollout::roll_out(p, in_force, path(args, "bundle")).await?;
-    let how = if accepted.resolved { " (an answer was lost on the way and resolved)" } else { "" };
-    println!("accepted as {}{how}", accepted.version);
+    let suffix =
+        if accepted.resolved { " (an answer was lost on the way and resolved)" } else { "" };
+    println!("accepted as {}{suffix}", accepted.version);
     if !args.get_flag("wait") {
         return Ok(());
     }
-    let most = *args.get_one::<Duration>("timeout").expect("has a default");
-    let shown = std::io::stderr().is_terminal();
-    let waited = rollout::wait(s, p, accepted.version, most, |have, all| {
-        if shown {
+    let max_wait = *args.get_one::<Duration>("timeout").expect("has a default");
+    let interactive = std::io::stderr().is_terminal();
+    let waited = rollout::wait(s, p, accepted.version, max_wait, |have, all| {
+        if interactive {
             eprint!("\rin force on {have} of {all} boxes ");
             let _ = std::io::stderr().flush();
         }
     });
     let waited = waited.await.wrap_err("roll-out --wait")?;
-    if waited > most {
-        bail!("roll-out --wait: took {waited:?}");
+    if waited > max_wait {
+        bail!("roll-out --wait: in force only after {waited:?}, past the timeout");
     }
     println!("in force on every live box after {} ms", waited.as_millis());
     Ok(())
--- a/crates/honeypulley_operator/src/fleet.rs
+++ b/crates/honeypulley_operator/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Asking all boxes at once.
+//! Queries the status of all boxes concurrently.
 
 use crate::settings::Settings;
 use eyre::{Result, eyre};
@@ -10,27 +10,27 @@
 use honeypulley_platform::roster::{BoxEntry, Roster};
 use rand::seq::SliceRandom;
 
-/// Boxes asked at one time.
-const PARALLEL: usize = 64;
+/// Maximum number of concurrent status queries.
+const MAX_QUERIES: usize = 64;
 
-/// Boxes asked which version is in force.
-const ASKED: usize = 5;
+/// Number of boxes queried to find the newest version in force.
+const SAMPLE_SIZE: usize = 5;
 
-/// What one box answered.
+/// Result of a status query to one box.
 #[derive(Clone, Debug)]
 pub struct Answer {
-    /// The box as the list shows it.
+    /// Roster entry of the box.
     pub entry: BoxEntry,
-    /// Its status, or why there is none.
+    /// Status of the box, or the error of the query.
     pub status: Result<BoxStatus, String>,
 }
 
-/// Returns the list, from the platform or else from a seed.
+/// Fetches the roster from the platform, or else from a seed.
 ///
 /// # Errors
-/// Returns an error if neither answers.
+/// Returns an error if neither the platform nor any seed answers.
 pub async fn roster(s: &Settings, p: &dyn Platform) -> Result<Roster> {
-    let away = match p.members().await {
+    let error = match p.members().await {
         Ok(json) => return Ok(Roster::from_json(&json)?),
         Err(e) => e,
     };
@@ -42,33 +42,35 @@
             return Ok(Roster::from_json(&json)?);
         }
     }
-    Err(eyre!("no list of boxes: {away}; and no seed answered"))
+    Err(eyre!("no roster: {error}; no seed answered either"))
 }
 
-/// Returns the newest version that some boxes have in force, zero if none answers.
+/// Returns the newest version in force on sampled boxes, zero if none answers.
 ///
-/// Every box has the bundle in force, so that a sample suffices.
-pub async fn newest(s: &Settings, p: &dyn Platform) -> Version {
-    let Ok(mut some) = roster(s, p).await else { return Version(0) };
-    some.boxes.shuffle(&mut rand::rng());
-    some.boxes.truncate(ASKED);
-    let answers = ask_all(s, &some).await;
+/// All boxes have the same bundle in force, so a sample suffices.
+pub async fn newest_version(s: &Settings, p: &dyn Platform) -> Version {
+    let Ok(mut sample) = roster(s, p).await else { return Version(0) };
+    sample.boxes.shuffle(&mut rand::rng());
+    sample.boxes.truncate(SAMPLE_SIZE);
+    let answers = query_all(s, &sample).await;
     let versions = answers.iter().filter_map(|a| a.status.as_ref().ok()).map(|b| b.bundle);
     Version(versions.max().unwrap_or(0))
 }
 
-/// Asks every listed box for its status, in the order of the list.
-pub async fn ask_all(s: &Settings, roster: &Roster) -> Vec<Answer> {
-    let ask = |entry: BoxEntry| async move {
-        let status = ask(s, &entry).await;
+/// Queries the status of every box, in the order of the roster.
+pub async fn query_all(s: &Settings, roster: &Roster) -> Vec<Answer> {
+    let query = |entry: BoxEntry| async move {
+        let status = query(s, &entry).await;
         Answer { entry, status }
     };
-    stream::iter(roster.boxes.clone()).map(ask).buffered(PARALLEL).collect().await
+    stream::iter(roster.boxes.clone()).map(query).buffered(MAX_QUERIES).collect().await
 }
 
-async fn ask(s: &Settings, entry: &BoxEntry) -> Result<BoxStatus, String> {
-    let addr =
-        entry.peer.parse().map_err(|_| format!("the list gives no address: '{}'", entry.peer))?;
+async fn query(s: &Settings, entry: &BoxEntry) -> Result<BoxStatus, String> {
+    let addr = entry
+        .peer
+        .parse()
+        .map_err(|_| format!("invalid peer address in the roster: '{}'", entry.peer))?;
     let got: Result<_, PeerError> =
         async { PeerClient::connect(addr, &s.key).await?.status().await }.await;
     let json = got.map_err(|e| e.to_string())?;
--- a/crates/honeypulley_operator/src/keys.rs
+++ b/crates/honeypulley_operator/src/keys.rs
@@ -1,4 +1,4 @@
-//! Operators' keys and sign-off files.
+//! Keys of operators and signature files of bundles.
 
 use base64::{Engine, engine::general_purpose::STANDARD as BASE64};
 use eyre::{Result, WrapErr, eyre};
@@ -11,16 +11,18 @@
 use std::os::unix::fs::OpenOptionsExt;
 use std::path::{Path, PathBuf};
 
-/// A sign-off as it lies beside the bundle.
+/// Content of the signature file of a bundle.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SignOff {
     /// Digest of the manifest that was signed.
     pub manifest: Digest,
-    /// The signature.
+    /// Signature of the manifest.
     pub signature: Signature,
 }
 
-/// Makes a new key, writes the secret to `path` and returns the public key.
+/// Generates a key pair and writes the secret key to `path`.
+///
+/// Returns the public key.
 ///
 /// # Errors
 /// Returns an error if the file exists or can't be written.
@@ -36,10 +38,10 @@
     Ok(Signer::from_secret(name, &secret).public())
 }
 
-/// Reads and checks a bundle's file.
+/// Reads and validates a bundle file.
 ///
 /// # Errors
-/// Returns an error with file, line and key.
+/// Returns an error that names the file, and the line and key of an invalid entry.
 pub fn read_bundle(path: &Path) -> Result<(Bundle, Split)> {
     let file = path.display().to_string();
     let text =
@@ -47,7 +49,7 @@
     Ok(Bundle::read(&file, &text)?)
 }
 
-/// Returns where the sign-off of a bundle's file lies.
+/// Returns the path of the signature file of a bundle.
 #[must_use]
 pub fn sign_off_path(bundle: &Path) -> PathBuf {
     let mut name = bundle.as_os_str().to_owned();
@@ -55,39 +57,39 @@
     PathBuf::from(name)
 }
 
-/// Signs a bundle's file off and writes the sign-off beside it.
+/// Signs a bundle file and writes the signature file next to it.
 ///
 /// # Errors
-/// Returns an error if bundle or key can't be read, or nothing can be written.
+/// Returns an error if the bundle or key can't be read, or the signature can't be written.
 pub fn sign(bundle: &Path, name: &str, key: &Path) -> Result<PathBuf> {
     let (_, split) = read_bundle(bundle)?;
     let text = std::fs::read_to_string(key)
         .wrap_err_with(|| format!("{}: read the key", key.display()))?;
     let signer = Signer::from_base64(name, &text).wrap_err_with(|| format!("{}", key.display()))?;
     let manifest = split.manifest.digest();
-    let off = SignOff { manifest, signature: signer.sign(&manifest) };
+    let sign_off = SignOff { manifest, signature: signer.sign(&manifest) };
     let path = sign_off_path(bundle);
-    std::fs::write(&path, serde_json::to_vec_pretty(&off)?)
-        .wrap_err_with(|| format!("{}: write the sign-off", path.display()))?;
+    std::fs::write(&path, serde_json::to_vec_pretty(&sign_off)?)
+        .wrap_err_with(|| format!("{}: write the signature", path.display()))?;
     Ok(path)
 }
 
-/// Reads the sign-off that lies beside a bundle and checks what it is for.
+/// Reads the signature file of a bundle and checks that it matches the manifest.
 ///
 /// # Errors
-/// Returns an error if it is missing, or another bundle was signed.
+/// Returns an error if it is missing or malformed, or signs another manifest.
 pub fn read_sign_off(bundle: &Path, split: &Split) -> Result<SignOff> {
     let path = sign_off_path(bundle);
     let shown = path.display();
     let bytes = std::fs::read(&path).wrap_err_with(|| {
         format!("{shown}: this bundle is not signed off; run `honeypulley bundle sign`")
     })?;
-    let off: SignOff =
-        serde_json::from_slice(&bytes).wrap_err_with(|| format!("{shown}: malformed sign-off"))?;
-    if off.manifest != split.manifest.digest() {
+    let sign_off: SignOff = serde_json::from_slice(&bytes)
+        .wrap_err_with(|| format!("{shown}: malformed signature file"))?;
+    if sign_off.manifest != split.manifest.digest() {
         return Err(eyre!(
             "{shown}: the bundle was altered after it was signed off; sign it again"
         ));
     }
-    Ok(off)
+    Ok(sign_off)
 }
--- a/crates/honeypulley_operator/src/lib.rs
+++ b/crates/honeypulley_operator/src/lib.rs
@@ -1,4 +1,4 @@
-//! The operators' command: check, sign, roll out, status, why.
+//! The operators' tool: validates, signs and rolls out bundles, and inspects the fleet.
 
 pub mod cli;
 pub mod fleet;
--- a/crates/honeypulley_operator/src/main.rs
+++ b/crates/honeypulley_operator/src/main.rs
@@ -1,4 +1,4 @@
-//! The operators' command.
+//! The operators' tool.
 
 #[global_allocator]
 static ALLOCATOR: mimalloc::MiMalloc = mimalloc::MiMalloc;
--- a/crates/honeypulley_operator/src/report.rs
+++ b/crates/honeypulley_operator/src/report.rs
@@ -1,4 +1,4 @@
-//! Status as text and JSON.
+//! Formats the status of the fleet as text and JSON.
 
 use crate::fleet::Answer;
 use honeypulley_daemon::status::BoxStatus;
@@ -7,21 +7,21 @@
 use std::fmt::Write as _;
 use std::io::IsTerminal;
 
-/// Status of the fleet as JSON.
+/// Status of the fleet, serialized as JSON.
 #[derive(Clone, Debug, Serialize)]
 pub struct FleetPage {
-    /// Version in the platform's head, if it could be asked.
+    /// Bundle version in the platform's head, if the platform is reachable.
     pub accepted: Option<u64>,
-    /// Number of boxes by version in force.
+    /// Number of boxes by the version that they have in force.
     pub in_force: BTreeMap<u64, usize>,
-    /// Boxes that answered.
+    /// Status of the boxes that answered.
     pub boxes: Vec<BoxStatus>,
-    /// Boxes that did not, and why.
+    /// Errors of the boxes that did not answer, by name.
     pub silent: BTreeMap<String, String>,
 }
 
 impl FleetPage {
-    /// Puts the answers of all boxes together.
+    /// Aggregates the answers of all boxes.
     #[must_use]
     pub fn new(accepted: Option<u64>, answers: Vec<Answer>) -> Self {
         let mut page = Self {
@@ -44,63 +44,63 @@
         page
     }
 
-    /// Returns the page for a person.
+    /// Formats the status for display.
     #[must_use]
     pub fn text(&self) -> String {
-        let mut t = String::new();
+        let mut text = String::new();
         let accepted =
             self.accepted.map_or("unknown (platform away)".to_owned(), |v| format!("v{v}"));
-        let _ = writeln!(t, "accepted: {accepted}");
+        let _ = writeln!(text, "accepted: {accepted}");
         for (v, n) in &self.in_force {
-            let _ = writeln!(t, "in force: v{v} on {n} boxes");
+            let _ = writeln!(text, "in force: v{v} on {n} boxes");
         }
         for b in &self.boxes {
             let state = if b.not_ready.is_empty() { "ready" } else { b.not_ready.as_str() };
             let relay = if b.relay { ", relay" } else { "" };
             let permits = if b.permits_valid { "" } else { ", permits lapsed" };
             let _ = writeln!(
-                t,
+                text,
                 "box {:<10} {:<8} v{} by {}, {} open{relay}{permits}: {}",
                 b.name,
                 b.hall,
                 b.bundle,
                 b.signer,
                 b.open,
-                paint(state)
+                coloured(state)
             );
         }
         for (name, why) in &self.silent {
-            let _ = writeln!(t, "box {name:<10} {}: {why}", paint("silent"));
+            let _ = writeln!(text, "box {name:<10} {}: {why}", coloured("silent"));
         }
         for ((service, upstream), states) in self.upstreams() {
-            let counted: Vec<String> =
-                states.iter().map(|(s, n)| format!("{} by {n}", paint(s))).collect();
-            let _ = writeln!(t, "upstream {service}/{upstream}: {}", counted.join(", "));
+            let counts: Vec<String> =
+                states.iter().map(|(s, n)| format!("{} by {n}", coloured(s))).collect();
+            let _ = writeln!(text, "upstream {service}/{upstream}: {}", counts.join(", "));
         }
-        t
+        text
     }
 
-    /// Returns for one upstream what each box says of it.
+    /// Formats the state of one upstream on each box.
     #[must_use]
     pub fn why(&self, service: &str, upstream: &str) -> String {
-        let mut t = String::new();
+        let mut text = String::new();
         for b in &self.boxes {
             for r in b.upstreams.iter().filter(|r| r.service == service && r.upstream == upstream) {
                 let why =
                     if r.reason.is_empty() { "nothing against it" } else { r.reason.as_str() };
                 let (good, bad, out) = (r.good, r.bad, r.out);
                 let _ = writeln!(
-                    t,
+                    text,
                     "box {:<10} {}: {why}; own outcomes lately: {good} good, {bad} bad; {out} open",
                     b.name,
-                    paint(&r.state)
+                    coloured(&r.state)
                 );
             }
         }
-        if t.is_empty() {
-            let _ = writeln!(t, "no box knows {service}/{upstream}");
+        if text.is_empty() {
+            let _ = writeln!(text, "no box knows {service}/{upstream}");
         }
-        t
+        text
     }
 
     fn upstreams(&self) -> BTreeMap<(&str, &str), BTreeMap<&str, usize>> {
@@ -113,8 +113,8 @@
     }
 }
 
-/// Colours a state, on a terminal only.
-fn paint(state: &str) -> String {
+/// Colours a state if standard output is a terminal.
+fn coloured(state: &str) -> String {
     if !std::io::stdout().is_terminal() {
         return state.to_owned();
     }
--- a/crates/honeypulley_operator/src/settings.rs
+++ b/crates/honeypulley_operator/src/settings.rs
@@ -1,4 +1,4 @@
-//! The operators' settings, from an INI file.
+//! Settings of the operators' tool, read from an INI file.
 
 use eyre::{Result, WrapErr};
 use honeypulley_ini::{Doc, IniError, parse};
@@ -6,22 +6,22 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Where the fleet is and how to talk to it.
+/// Addresses and key of the fleet.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The platform's object API.
+    /// Address of the platform's object API.
     pub platform: SocketAddr,
-    /// The fleet's shared key.
+    /// Shared key of the fleet.
     pub key: FleetKey,
-    /// Boxes to ask for the list while the platform is away.
+    /// Boxes that supply the roster if the platform is unreachable.
     pub seeds: Vec<SocketAddr>,
 }
 
 impl Settings {
-    /// Reads and checks the settings at `path`.
+    /// Reads and validates the settings at `path`.
     ///
     /// # Errors
-    /// Returns an error with file, line and key.
+    /// Returns an error that names the file, and the line and key of an invalid entry.
     pub fn load(path: &Path) -> Result<Self> {
         let file = path.display().to_string();
         let text =
@@ -29,10 +29,10 @@
         Ok(Self::read(&file, &text)?)
     }
 
-    /// Parses and checks settings, calling the text `file` in errors.
+    /// Parses and validates settings; errors refer to the text as `file`.
     ///
     /// # Errors
-    /// Returns the first error with file, line and key.
+    /// Returns the first error, with its file, line and key.
     pub fn read(file: &str, text: &str) -> Result<Self, IniError> {
         let doc = Doc::read(file, text)?;
         let s = doc.section("operator")?;
