--- a/crates/honeypulley_observe/src/metrics.rs
+++ b/crates/honeypulley_observe/src/metrics.rs
@@ -95,12 +95,12 @@
             // Writing to a `String` never fails.
             let _ = match s {
                 Series::Counter(n) if name.ends_with("_total") => {
-                    writeln!(out, "{name}{} {n}", format_labels(labels, ""))
+                    writeln!(out, "{name}{} {n}", label_set(labels, ""))
                 }
                 Series::Counter(n) => {
-                    writeln!(out, "{name}_total{} {n}", format_labels(labels, ""))
+                    writeln!(out, "{name}_total{} {n}", label_set(labels, ""))
                 }
-                Series::Gauge(v) => writeln!(out, "{name}{} {v}", format_labels(labels, "")),
+                Series::Gauge(v) => writeln!(out, "{name}{} {v}", label_set(labels, "")),
                 Series::Timer(h) => h.write(name, labels, &mut out),
             };
         }
@@ -120,11 +120,11 @@
     fn write(&self, name: &str, labels: &str, out: &mut String) -> std::fmt::Result {
         for (n, bound) in self.buckets.iter().zip(BUCKETS) {
             let le = format!("le=\"{bound}\"");
-            writeln!(out, "{name}_bucket{} {n}", format_labels(labels, &le))?;
+            writeln!(out, "{name}_bucket{} {n}", label_set(labels, &le))?;
         }
-        writeln!(out, "{name}_bucket{} {}", format_labels(labels, "le=\"+Inf\""), self.count)?;
-        writeln!(out, "{name}_sum{} {}", format_labels(labels, ""), self.sum)?;
-        writeln!(out, "{name}_count{} {}", format_labels(labels, ""), self.count)
+        writeln!(out, "{name}_bucket{} {}", label_set(labels, "le=\"+Inf\""), self.count)?;
+        writeln!(out, "{name}_sum{} {}", label_set(labels, ""), self.sum)?;
+        writeln!(out, "{name}_count{} {}", label_set(labels, ""), self.count)
     }
 }
 
@@ -143,7 +143,7 @@
     tags.split(',').map(label).collect::<Vec<_>>().join(",")
 }
 
-fn format_labels(labels: &str, more: &str) -> String {
+fn label_set(labels: &str, more: &str) -> String {
     match (labels.is_empty(), more.is_empty()) {
         (true, true) => String::new(),
         (true, false) => format!("{{{more}}}"),
