--- a/crates/honeypulley_observe/src/metrics.rs
+++ b/crates/honeypulley_observe/src/metrics.rs
@@ -97,9 +97,7 @@
                 Series::Counter(n) if name.ends_with("_total") => {
                     writeln!(out, "{name}{} {n}", label_set(labels, ""))
                 }
-                Series::Counter(n) => {
-                    writeln!(out, "{name}_total{} {n}", label_set(labels, ""))
-                }
+                Series::Counter(n) => writeln!(out, "{name}_total{} {n}", label_set(labels, "")),
                 Series::Gauge(v) => writeln!(out, "{name}{} {v}", label_set(labels, "")),
                 Series::Timer(h) => h.write(name, labels, &mut out),
             };
