--- a/crates/honeypulley_ini/src/lib.rs
+++ b/crates/honeypulley_ini/src/lib.rs
@@ -1,4 +1,4 @@
-//! Checked INI reading: every error names file, line and key.
+//! INI parser whose errors report file, line and key.
 //!
 //! ```
 //! use honeypulley_ini::{Doc, parse};
@@ -15,21 +15,21 @@
 
 use ini::{Ini, ParseOption, Properties};
 
-/// What was wrong with an INI file, and where.
+/// An error in an INI file, with its location.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{file}:{line}: {place}{what}")]
 pub struct IniError {
-    /// File name as the user gave it.
+    /// File name as given by the user.
     pub file: String,
-    /// Line, from one.
+    /// Line number, starting at one.
     pub line: usize,
-    /// Section and key, ready to print, or empty.
+    /// Section and key as printed, including the separator, or empty.
     pub place: String,
-    /// What was wrong.
+    /// Description of the error.
     pub what: String,
 }
 
-/// A parsed INI file that knows its lines.
+/// A parsed INI file that keeps its text to report line numbers.
 #[derive(Clone, Debug)]
 pub struct Doc {
     file: String,
@@ -38,10 +38,10 @@
 }
 
 impl Doc {
-    /// Parses `text`, calling it `file` in errors.
+    /// Parses `text`, named `file` in errors.
     ///
     /// # Errors
-    /// Returns the first malformed, repeated or stray line.
+    /// Returns an error for the first line that is malformed, a duplicate or outside of any section.
     pub fn read(file: &str, text: &str) -> Result<Self, IniError> {
         let opt =
             ParseOption { enabled_quote: false, enabled_escape: false, ..ParseOption::default() };
@@ -52,14 +52,14 @@
             what: e.msg.to_string(),
         })?;
         let doc = Self { file: file.to_owned(), text: text.to_owned(), ini };
-        doc.check_repeats()?;
+        doc.check_duplicates()?;
         Ok(doc)
     }
 
-    /// Returns the one section called `name`.
+    /// Returns the section `name`.
     ///
     /// # Errors
-    /// Returns an error if it is missing.
+    /// Returns an error if the section is missing.
     pub fn section(&self, name: &str) -> Result<Section<'_>, IniError> {
         self.optional(name).ok_or_else(|| IniError {
             file: self.file.clone(),
@@ -69,21 +69,22 @@
         })
     }
 
-    /// Returns the section called `name`, if it is there.
+    /// Returns the section `name`, if it is present.
     #[must_use]
     pub fn optional(&self, name: &str) -> Option<Section<'_>> {
         let props = self.ini.section(Some(name))?;
         Some(Section { doc: self, name: name.to_owned(), props })
     }
 
-    /// Returns every section in the order of the file.
+    /// Returns all sections in file order.
     pub fn sections(&self) -> impl Iterator<Item = Section<'_>> {
         self.ini
             .iter()
             .filter_map(|(name, props)| Some(Section { doc: self, name: name?.to_owned(), props }))
     }
 
-    fn check_repeats(&self) -> Result<(), IniError> {
+    /// Rejects duplicate sections and keys, which the INI parser accepts.
+    fn check_duplicates(&self) -> Result<(), IniError> {
         let (mut current, mut seen) = (String::new(), std::collections::HashSet::new());
         for (i, line) in self.text.lines().enumerate() {
             let line = line.trim();
@@ -96,31 +97,31 @@
             if let Some(name) = section_name(line) {
                 name.clone_into(&mut current);
                 if !seen.insert((current.clone(), None)) {
-                    return Err(error(format!("[{current}]: "), "this section stands twice"));
+                    return Err(error(format!("[{current}]: "), "duplicate section"));
                 }
             } else if let Some(key) = key_name(line) {
                 if current.is_empty() {
-                    return Err(error(format!("{key}: "), "this key stands before any section"));
+                    return Err(error(format!("{key}: "), "this key is outside of any section"));
                 }
                 if !seen.insert((current.clone(), Some(key.to_owned()))) {
-                    return Err(error(format!("[{current}] {key}: "), "this key stands twice"));
+                    return Err(error(format!("[{current}] {key}: "), "duplicate key"));
                 }
             }
         }
         Ok(())
     }
 
-    /// Finds the line of a section, or of a key in it; the first line if unknown.
+    /// Returns the line of a key, else of its section header, else the first line.
     fn line_of(&self, section: &str, key: Option<&str>) -> usize {
-        let (mut inside, mut header) = (false, 1);
+        let (mut in_section, mut header) = (false, 1);
         for (i, line) in self.text.lines().enumerate() {
             let line = line.trim();
             if let Some(name) = section_name(line) {
-                inside = name == section;
-                if inside {
+                in_section = name == section;
+                if in_section {
                     header = i + 1;
                 }
-            } else if inside && key.is_some() && key_name(line) == key {
+            } else if in_section && key.is_some() && key_name(line) == key {
                 return i + 1;
             }
         }
@@ -149,21 +150,21 @@
 }
 
 impl Section<'_> {
-    /// Returns the section's name.
+    /// Returns the name of the section.
     #[must_use]
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// Returns keys and values in the order of the file.
+    /// Returns keys and values in file order.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &str)> {
         self.props.iter()
     }
 
-    /// Reads a key that must be there.
+    /// Parses the value of a required key.
     ///
     /// # Errors
-    /// Returns an error if it is missing or `parse` refuses it.
+    /// Returns an error if the key is missing or `parse` rejects its value.
     pub fn required<T>(
         &self,
         key: &str,
@@ -173,10 +174,10 @@
         parse(value.trim()).map_err(|what| self.error(key, what))
     }
 
-    /// Reads a key that may be left out.
+    /// Parses the value of an optional key.
     ///
     /// # Errors
-    /// Returns an error if it is there and `parse` refuses it.
+    /// Returns an error if the key is present and `parse` rejects its value.
     pub fn optional<T>(
         &self,
         key: &str,
@@ -188,10 +189,10 @@
         self.required(key, parse).map(Some)
     }
 
-    /// Checks that no key but `known` stands here.
+    /// Checks that the section has no keys other than `known`.
     ///
     /// # Errors
-    /// Names the first unknown key.
+    /// Returns an error at the first unknown key.
     pub fn only(&self, known: &[&str]) -> Result<(), IniError> {
         match self.props.iter().find(|(k, _)| !known.contains(k)) {
             Some((k, _)) => Err(self.error(k, format!("unknown key; known: {}", known.join(", ")))),
@@ -199,7 +200,7 @@
         }
     }
 
-    /// Builds an error at `key` of this section.
+    /// Creates an error at `key` of this section.
     pub fn error(&self, key: &str, what: impl Into<String>) -> IniError {
         IniError {
             file: self.doc.file.clone(),
@@ -209,7 +210,7 @@
         }
     }
 
-    /// Builds an error at the head of this section.
+    /// Creates an error at the header of this section.
     pub fn error_here(&self, what: impl Into<String>) -> IniError {
         IniError {
             file: self.doc.file.clone(),
--- a/crates/honeypulley_ini/tests/errors.rs
+++ b/crates/honeypulley_ini/tests/errors.rs
@@ -1,4 +1,4 @@
-//! Every error names file, line and key.
+//! Errors report file, line and key.
 
 use honeypulley_ini::{Doc, IniError, parse};
 use proptest::prelude::*;
@@ -26,8 +26,8 @@
     "[box]\nwait = 2s\nhurry = 1\n",
     "box.ini:3: [box] hurry: unknown key; known: wait, share, rate"
 )]
-#[case("[box]\nwait = 2s\nwait = 3s\n", "box.ini:3: [box] wait: this key stands twice")]
-#[case("[box]\nwait = 2s\n[box]\n", "box.ini:3: [box]: this section stands twice")]
+#[case("[box]\nwait = 2s\nwait = 3s\n", "box.ini:3: [box] wait: duplicate key")]
+#[case("[box]\nwait = 2s\n[box]\n", "box.ini:3: [box]: duplicate section")]
 #[case(
     "[other]\nshare = 1\n[box]\nwait = 2s\nshare = 200%\n",
     "box.ini:5: [box] share: expected a share such as 10%, not '200%'"
@@ -36,9 +36,9 @@
     "[box]\nwait = 2s\nrate = 0/s\n",
     "box.ini:3: [box] rate: expected a rate such as 200/s, not '0/s'"
 )]
-#[case("wait = 2s\n", "box.ini:1: wait: this key stands before any section")]
-fn names_file_line_and_key(#[case] text: &str, #[case] message: &str) {
-    assert_eq!(read(text).expect_err("refused").to_string(), message);
+#[case("wait = 2s\n", "box.ini:1: wait: this key is outside of any section")]
+fn errors_report_file_line_and_key(#[case] text: &str, #[case] message: &str) {
+    assert_eq!(read(text).expect_err("the file is invalid").to_string(), message);
 }
 
 proptest! {
