--- a/crates/honeypulley_bundle/src/head.rs
+++ b/crates/honeypulley_bundle/src/head.rs
@@ -1,11 +1,11 @@
-//! The head: which bundle is accepted, in the platform's order.
+//! The head object, which names the accepted bundle version.
 
 use crate::parts::Digest;
 use crate::sign::Signature;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Number of an accepted bundle; each acceptance adds one.
+/// Version number of an accepted bundle, incremented by each rollout.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -17,36 +17,36 @@
     }
 }
 
-/// Earlier roll-outs that a head remembers.
+/// Maximum number of earlier rollouts that a head records.
 pub const REMEMBERED: usize = 32;
 
-/// One acceptance that a later one followed.
+/// An accepted rollout that a later one has replaced.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Past {
-    /// Its version.
+    /// Version that the rollout was accepted as.
     pub version: Version,
-    /// Its roll-out's own id.
+    /// Unique id of the rollout.
     pub rollout: String,
 }
 
-/// The one object that acceptance updates, by conditional update.
+/// Describes the accepted bundle; replaced by a conditional write on each rollout.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
-    /// Version accepted.
+    /// Accepted version.
     pub version: Version,
-    /// The roll-out's own id, by which a lost answer is resolved.
+    /// Unique id of the rollout, used to determine the outcome if the answer to the write is lost.
     pub rollout: String,
     /// Digest of the manifest.
     pub manifest: Digest,
-    /// Who signed it off.
+    /// Operator's signature of the manifest.
     pub signature: Signature,
-    /// Acceptances before this one, newest first.
+    /// Earlier rollouts, newest first.
     #[serde(default)]
     pub past: Vec<Past>,
 }
 
 impl Head {
-    /// Builds the head that follows `before`.
+    /// Builds the successor of the head `before`.
     #[must_use]
     pub fn after(
         before: Option<&Self>,
@@ -55,25 +55,26 @@
         signature: Signature,
     ) -> Self {
         let past = before.map_or_else(Vec::new, |h| {
-            let last = Past { version: h.version, rollout: h.rollout.clone() };
-            std::iter::once(last).chain(h.past.iter().cloned()).take(REMEMBERED).collect()
+            let latest = Past { version: h.version, rollout: h.rollout.clone() };
+            std::iter::once(latest).chain(h.past.iter().cloned()).take(REMEMBERED).collect()
         });
         let version = Version(before.map_or(1, |h| h.version.0 + 1));
         Self { version, rollout, manifest, signature, past }
     }
 
-    /// Raises the version above one that boxes have in force.
+    /// Raises the version above the one that is active on the boxes.
     ///
-    /// A platform restored from a backup may have lost the heads up to that one.
+    /// A platform restored from a backup may have lost heads up to that version, and
+    /// boxes ignore a head that is not newer than their own.
     #[must_use]
     pub fn above(mut self, in_force: Version) -> Self {
         self.version = self.version.max(Version(in_force.0 + 1));
         self
     }
 
-    /// Returns the version that the roll-out `id` was accepted as, if it was.
+    /// Returns the version that the rollout `id` was accepted as.
     ///
-    /// Only the last [`REMEMBERED`] acceptances are known.
+    /// Only the current rollout and the last [`REMEMBERED`] before it are known.
     #[must_use]
     pub fn version_of(&self, id: &str) -> Option<Version> {
         if self.rollout == id {
--- a/crates/honeypulley_bundle/src/keeper.rs
+++ b/crates/honeypulley_bundle/src/keeper.rs
@@ -1,8 +1,8 @@
-//! What one box has in force; the only entrance for bundles.
+//! Verification and activation of bundles on a box.
 //!
-//! Whatever the way a head came by (platform, relay, any peer), it passes
-//! [`Keeper::offer`], which checks order, sign-off and digests. A box never goes
-//! back within its life.
+//! Every bundle, whether received from the platform, a relay or a peer, is activated
+//! by [`Keeper::offer`], which verifies version order, signature and digests. The
+//! active version never decreases while the process runs.
 
 use crate::head::{Head, Version};
 use crate::model::Bundle;
@@ -13,45 +13,45 @@
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
 
-/// Earlier manifests kept, against which peers are sent changes only.
+/// Number of earlier manifests cached, so that peers can be sent the differences only.
 const REMEMBERED: usize = 8;
 
-/// A bundle in force with all that peers may pull.
+/// An active bundle with everything that peers may fetch.
 #[derive(Clone, Debug)]
 pub struct InForce {
-    /// Its head.
+    /// Head that names the bundle.
     pub head: Head,
-    /// Its manifest.
+    /// Manifest of the bundle.
     pub manifest: Manifest,
-    /// The checked model.
+    /// Validated model.
     pub bundle: Bundle,
-    /// Texts of its parts.
+    /// Text of each part, by digest.
     pub parts: HashMap<Digest, Bytes>,
 }
 
-/// Why an offered bundle was not put in force.
+/// Errors that prevent a bundle from being activated.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum OfferError {
-    /// The box has this version or a later one.
+    /// The active version is the same or newer.
     #[error("{offered} is not newer than {in_force}, which is in force")]
     Older {
-        /// Version offered.
+        /// Rejected version.
         offered: Version,
-        /// Version in force.
+        /// Active version.
         in_force: Version,
     },
-    /// The sign-off does not hold.
+    /// The signature is invalid or its signer is not trusted.
     #[error("{0}: {1}")]
     Untrusted(Version, SignError),
-    /// The manifest is not the one that the head names.
-    #[error("{0}: the manifest does not fit the head")]
+    /// The manifest does not match the digest in the head.
+    #[error("{0}: the manifest does not match the digest in the head")]
     Manifest(Version),
-    /// A part is missing or does not parse.
+    /// A part is missing or cannot be parsed.
     #[error("{0}: {1}")]
     Part(Version, IniError),
 }
 
-/// Holds the bundle in force and guards the order of versions.
+/// Holds the active bundle and enforces increasing versions.
 #[derive(Debug)]
 pub struct Keeper {
     trust: Trust,
@@ -60,32 +60,34 @@
 }
 
 impl Keeper {
-    /// Builds a keeper that trusts the signers of the settings.
+    /// Creates an instance without a bundle that trusts the signers in `trust`.
+    ///
+    /// `trust` holds the signers of the settings.
     #[must_use]
     pub const fn new(trust: Trust) -> Self {
         Self { trust, in_force: None, old: VecDeque::new() }
     }
 
-    /// Returns the bundle in force.
+    /// Returns the active bundle.
     #[must_use]
     pub const fn in_force(&self) -> Option<&Arc<InForce>> {
         self.in_force.as_ref()
     }
 
-    /// Returns the version in force, zero if there is none.
+    /// Returns the active version, or zero if no bundle is active.
     #[must_use]
     pub fn version(&self) -> Version {
         self.in_force.as_ref().map_or(Version(0), |f| f.head.version)
     }
 
-    /// Returns an earlier manifest that is still remembered, or that in force.
+    /// Returns the active or a cached earlier manifest with the digest `d`.
     #[must_use]
     pub fn remembered(&self, d: &Digest) -> Option<&Manifest> {
-        let now = self.in_force.as_ref().filter(|f| f.head.manifest == *d).map(|f| &f.manifest);
-        now.or_else(|| self.old.iter().find(|(k, _)| k == d).map(|(_, m)| m))
+        let active = self.in_force.as_ref().filter(|f| f.head.manifest == *d).map(|f| &f.manifest);
+        active.or_else(|| self.old.iter().find(|(k, _)| k == d).map(|(_, m)| m))
     }
 
-    /// Checks a head before anything is moved for it.
+    /// Verifies version order and signature of a head before its parts are fetched.
     ///
     /// # Errors
     /// [`OfferError::Older`] or [`OfferError::Untrusted`].
@@ -93,26 +95,26 @@
         if head.version <= self.version() {
             return Err(OfferError::Older { offered: head.version, in_force: self.version() });
         }
-        let named = self.in_force.as_ref().map(|f| f.bundle.signers());
-        let trust = named.map_or_else(|| self.trust.clone(), |n| self.trust.with(n));
+        let signers = self.in_force.as_ref().map(|f| f.bundle.signers());
+        let trust = signers.map_or_else(|| self.trust.clone(), |s| self.trust.with(s));
         trust
             .verify(&head.manifest, &head.signature)
             .map_err(|e| OfferError::Untrusted(head.version, e))
     }
 
-    /// Returns the parts of `manifest` that this box does not hold.
+    /// Returns the parts of `manifest` that have to be fetched.
     #[must_use]
     pub fn missing(&self, manifest: &Manifest) -> Vec<Digest> {
-        let held = |d: &Digest| self.in_force.as_ref().is_some_and(|f| f.parts.contains_key(d));
-        manifest.parts.iter().copied().filter(|d| !held(d)).collect()
+        let cached = |d: &Digest| self.in_force.as_ref().is_some_and(|f| f.parts.contains_key(d));
+        manifest.parts.iter().copied().filter(|d| !cached(d)).collect()
     }
 
-    /// Puts a bundle in force, if it is newer, signed off and whole.
+    /// Activates a bundle if it is newer, signed and complete.
     ///
-    /// `fresh` are the texts of the parts that [`Keeper::missing`] named.
+    /// `fresh` holds the text of the parts that [`Keeper::missing`] returned.
     ///
     /// # Errors
-    /// See [`OfferError`]; what was in force stays so.
+    /// Returns an [`OfferError`]; the active bundle is then unchanged.
     pub fn offer(
         &mut self,
         head: Head,
@@ -125,8 +127,8 @@
         }
         let before = self.in_force.as_deref();
         let text = |d: &Digest| {
-            let checked = fresh.get(d).filter(|b| Digest::of(b) == *d);
-            checked.or_else(|| before.and_then(|f| f.parts.get(d))).cloned()
+            let verified = fresh.get(d).filter(|b| Digest::of(b) == *d);
+            verified.or_else(|| before.and_then(|f| f.parts.get(d))).cloned()
         };
         let old = before.map(|f| (&f.bundle, &f.manifest));
         let bundle = Bundle::compose(old, &manifest, |i| text(&manifest.parts[i]))
--- a/crates/honeypulley_bundle/src/lib.rs
+++ b/crates/honeypulley_bundle/src/lib.rs
@@ -1,9 +1,9 @@
-//! Signed, versioned bundles: parse, check, split, sign and order.
+//! Signed and versioned configuration bundles.
 //!
-//! Operators write one INI file. [`split`](parts::split) cuts it into parts by a
-//! hash of each entry's name, so that a change moves the one part it falls in.
-//! A [`Head`](head::Head) names version, manifest and signer; it is the one
-//! object that acceptance updates.
+//! Operators write one INI file. [`split`](parts::split) partitions it by a hash of
+//! each entry's name, so that changing an entry changes a single part. A
+//! [`Head`](head::Head) holds the version, the manifest digest and the signature; it
+//! is the only object that a rollout updates.
 
 pub mod head;
 pub mod keeper;
@@ -11,7 +11,7 @@
 pub mod parts;
 pub mod sign;
 
-/// The names most users of this crate need.
+/// Re-exports of the most commonly used types.
 pub mod prelude {
     pub use crate::{
         head::{Head, Version},
--- a/crates/honeypulley_bundle/src/model.rs
+++ b/crates/honeypulley_bundle/src/model.rs
@@ -1,7 +1,7 @@
-//! The checked model of a bundle.
+//! The validated model of a bundle.
 //!
-//! A [`Bundle`] is a row of parts that are shared with the version before it,
-//! so a change costs the parsing of one part and a copy of pointers.
+//! A [`Bundle`] shares its unchanged parts with the previous version, so a change
+//! costs only the parsing of the changed parts and a copy of the pointers.
 
 use crate::parts::{Manifest, Split, bucket, split};
 use crate::sign::Trust;
@@ -11,33 +11,33 @@
 use std::sync::Arc;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Caller name that stands for every caller not listed.
+/// Wildcard that matches every caller that is not listed.
 pub const ANY_CALLER: &str = "*";
 
-/// Checked entries of one part.
+/// Validated entries of one part.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Part {
     services: Vec<ServiceSpec>,
-    /// Host and path prefix, with the service, sorted.
+    /// Host and path prefix with the service, sorted.
     routes: Vec<(Box<str>, Box<str>)>,
-    /// Hash of the caller's name with hash of its limit's name, sorted.
+    /// Hash of the caller's name with the hash of its limit's name, sorted.
     callers: Vec<(u64, u64)>,
-    /// Hash of a limit's name with its rate.
+    /// Hash of the limit's name with its rate.
     limits: Vec<(u64, f64)>,
     signers: Trust,
 }
 
-/// A whole bundle, checked.
+/// A complete, validated bundle.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bundle {
     parts: Vec<Arc<Part>>,
     signers: Trust,
-    /// Hash of a limit's name with its rate.
+    /// Rates by the hash of the limit's name.
     limits: BTreeMap<u64, f64>,
 }
 
 impl Part {
-    /// Parses and checks one part, or a whole file, calling it `file` in errors.
+    /// Parses and validates one part or a complete file, named `file` in errors.
     ///
     /// # Errors
     /// Returns the first error with file, line and key.
@@ -60,7 +60,7 @@
         }
         part.routes.sort_unstable();
         part.callers.sort_unstable();
-        // Parts are many and live long.
+        // A bundle has up to thousands of parts, which stay in memory as long as it is active.
         part.services.shrink_to_fit();
         part.routes.shrink_to_fit();
         part.callers.shrink_to_fit();
@@ -75,9 +75,10 @@
             }
             let prefix: Box<str> = key.trim_end_matches('/').into();
             if !seen.insert(prefix.clone()) {
-                return Err(
-                    s.error(key, "this route stands twice, with and without its last slash")
-                );
+                return Err(s.error(
+                    key,
+                    "duplicate route: it is listed with and without a trailing slash",
+                ));
             }
             self.routes.push((prefix, service.into()));
         }
@@ -100,49 +101,49 @@
 }
 
 impl Bundle {
-    /// Parses, checks and splits an operator's file.
+    /// Parses, validates and partitions an operator's file.
     ///
     /// # Errors
     /// Returns the first error with file, line and key.
     pub fn read(file: &str, text: &str) -> Result<(Self, Split), IniError> {
-        check_whole(file, text)?;
-        let cut = split(file, text)?;
-        let bundle = Self::compose(None, &cut.manifest, |i| cut.parts.get(i).cloned())?;
-        Ok((bundle, cut))
+        check_references(file, text)?;
+        let stored = split(file, text)?;
+        let bundle = Self::compose(None, &stored.manifest, |i| stored.parts.get(i).cloned())?;
+        Ok((bundle, stored))
     }
 
-    /// Puts a bundle together from `manifest`, sharing parts with `before`.
+    /// Builds a bundle from `manifest`, sharing unchanged parts with `before`.
     ///
-    /// `before` is the bundle in force with its manifest; `fetch` gives the text
-    /// of a part by its bucket and is asked only for those that changed.
+    /// `before` is the active bundle with its manifest. `fetch` returns the text of the
+    /// part of a bucket and is called for changed parts only.
     ///
     /// # Errors
-    /// Returns the first error in a part, or names a part that is missing.
+    /// Returns the first error in a part, or an error that names a missing part.
     pub fn compose(
         before: Option<(&Self, &Manifest)>,
         manifest: &Manifest,
         fetch: impl Fn(usize) -> Option<bytes::Bytes>,
     ) -> Result<Self, IniError> {
-        let same = |i: usize| {
+        let shared = |i: usize| {
             let (bundle, old) = before?;
-            let kept = old.parts.len() == manifest.parts.len() && old.parts[i] == manifest.parts[i];
-            kept.then(|| Arc::clone(&bundle.parts[i]))
+            let same = old.parts.len() == manifest.parts.len() && old.parts[i] == manifest.parts[i];
+            same.then(|| Arc::clone(&bundle.parts[i]))
         };
         let load = |i: usize| {
             let file = format!("part {i}");
-            let missing = |what: &str| IniError {
+            let error = |what: &str| IniError {
                 file: file.clone(),
                 line: 1,
                 place: String::new(),
                 what: what.to_owned(),
             };
-            let bytes = fetch(i).ok_or_else(|| missing("this part is missing"))?;
+            let bytes = fetch(i).ok_or_else(|| error("this part is missing"))?;
             let text =
-                std::str::from_utf8(&bytes).map_err(|_| missing("this part is not UTF-8"))?;
+                std::str::from_utf8(&bytes).map_err(|_| error("this part is not valid UTF-8"))?;
             Part::parse(&file, text).map(Arc::new)
         };
         let parts: Vec<Arc<Part>> = (0..manifest.parts.len())
-            .map(|i| same(i).map_or_else(|| load(i), Ok))
+            .map(|i| shared(i).map_or_else(|| load(i), Ok))
             .collect::<Result<_, _>>()?;
         let signers = parts.iter().fold(Trust::default(), |t, p| t.with(&p.signers));
         let limits = parts.iter().flat_map(|p| p.limits.iter().copied()).collect();
@@ -154,19 +155,19 @@
         self.parts.iter().flat_map(|p| p.services.iter())
     }
 
-    /// Returns the signers that this bundle names.
+    /// Returns the signers that the bundle lists.
     #[must_use]
     pub const fn signers(&self) -> &Trust {
         &self.signers
     }
 
-    /// Returns the service of a request by the longest prefix that fits.
+    /// Returns the service of a request by longest-prefix match.
     ///
-    /// Prefixes end at a slash: `a/b` fits `a/b/c` but not `a/bc`.
+    /// Prefixes match whole path segments: `a/b` matches `a/b/c` but not `a/bc`.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&str> {
-        let whole = format!("{host}{path}");
-        let mut key = whole.trim_end_matches('/');
+        let url = format!("{host}{path}");
+        let mut key = url.trim_end_matches('/');
         loop {
             if let Some(service) = self.route_exact(key) {
                 return Some(service);
@@ -176,17 +177,18 @@
     }
 
     fn route_exact(&self, key: &str) -> Option<&str> {
-        // A route to a whole host stands as `host/` in the file.
-        let written = if key.contains('/') { key.to_owned() } else { format!("{key}/") };
+        // Buckets are chosen by the key as written in the file: a route of a whole host is
+        // written as `host/`, and other routes may have a trailing slash.
+        let canonical = if key.contains('/') { key.to_owned() } else { format!("{key}/") };
         let trailing = format!("{key}/");
-        [written, trailing].iter().find_map(|w| {
+        [canonical, trailing].iter().find_map(|w| {
             let routes = &self.parts[bucket("routes", w, self.parts.len())].routes;
             let i = routes.binary_search_by(|(k, _)| (**k).cmp(key)).ok()?;
             Some(&*routes[i].1)
         })
     }
 
-    /// Returns the rate that a caller may ask at, in requests a second.
+    /// Returns the rate limit of a caller, in requests per second.
     #[must_use]
     pub fn caller_rate(&self, caller: &str) -> Option<f64> {
         let class = self.caller_class(caller).or_else(|| self.caller_class(ANY_CALLER))?;
@@ -204,8 +206,8 @@
     xxh3_64(name.as_bytes())
 }
 
-/// Checks what only the whole file can show: that every name used is there.
-fn check_whole(file: &str, text: &str) -> Result<(), IniError> {
+/// Checks that every referenced service and limit is defined in the file.
+fn check_references(file: &str, text: &str) -> Result<(), IniError> {
     Part::parse(file, text)?;
     let doc = Doc::read(file, text)?;
     let services: BTreeSet<String> = doc
@@ -221,8 +223,8 @@
     }
     let Some(callers) = doc.optional("callers") else { return Ok(()) };
     let limits = doc.section("limits")?;
-    let known: BTreeSet<&str> = limits.iter().map(|(k, _)| k).collect();
-    match callers.iter().find(|(_, v)| !known.contains(v)) {
+    let defined: BTreeSet<&str> = limits.iter().map(|(k, _)| k).collect();
+    match callers.iter().find(|(_, v)| !defined.contains(v)) {
         Some((k, v)) => Err(callers.error(k, format!("[limits] has no '{v}'"))),
         None => Ok(()),
     }
@@ -236,7 +238,7 @@
     let floor = s.required("floor", floor)?;
     let repeat = s.required("repeat", repeat)?;
     let deadline = s.required("deadline", parse::duration)?;
-    let positive = parse::any::<std::num::NonZeroUsize>("a number of connections, one or more");
+    let connections = parse::any::<std::num::NonZeroUsize>("a number of connections, one or more");
     Ok(ServiceSpec::builder()
         .name(name)
         .floor(floor)
@@ -244,7 +246,7 @@
         .deadline(deadline)
         .maybe_retries(s.optional("retries", parse::share)?)
         .maybe_lean(s.optional("lean", lean)?)
-        .maybe_connections(s.optional("connections", positive)?.map(usize::from))
+        .maybe_connections(s.optional("connections", connections)?.map(usize::from))
         .maybe_rate(s.optional("rate", parse::rate)?)
         .build())
 }
@@ -257,7 +259,7 @@
         .parse()
         .map_err(|_| format!("expected a share such as 70% or a number of upstreams, not '{s}'"))?;
     if n == 0 {
-        Err("a floor of zero keeps nothing; expected 1 or more".to_owned())
+        Err("a floor of zero has no effect; expected 1 or more".to_owned())
     } else {
         Ok(Floor::Count(n))
     }
@@ -273,11 +275,11 @@
 }
 
 fn lean(s: &str) -> Result<Lean, String> {
-    let wrong = || format!("expected detection, exactness, balance or 0.0 to 1.0, not '{s}'");
+    let invalid = || format!("expected detection, exactness, balance or 0.0 to 1.0, not '{s}'");
     match s {
         "detection" => Ok(Lean::DETECTION),
         "exactness" => Ok(Lean::EXACTNESS),
         "balance" => Ok(Lean::default()),
-        _ => s.parse().ok().and_then(Lean::new).ok_or_else(wrong),
+        _ => s.parse().ok().and_then(Lean::new).ok_or_else(invalid),
     }
 }
--- a/crates/honeypulley_bundle/src/sign.rs
+++ b/crates/honeypulley_bundle/src/sign.rs
@@ -1,4 +1,4 @@
-//! Sign-off with Ed25519 (RFC 8032).
+//! Ed25519 signatures of bundles (RFC 8032).
 
 use crate::parts::Digest;
 use base64::{Engine, engine::general_purpose::STANDARD as BASE64};
@@ -7,35 +7,35 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Prefix of the signed text, so that a signature serves no other purpose.
+/// Domain separator: a signature of a bundle is not valid in any other context.
 const CONTEXT: &str = "honeypulley bundle 1\n";
 
-/// A sign-off of one manifest by one operator.
+/// An operator's signature of a manifest.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Signature {
-    /// Operator's name, as in the lists of signers.
+    /// Operator's name, as configured under `[signers]`.
     pub signer: String,
-    /// Signature bytes in base64.
+    /// Signature in base64.
     pub bytes: String,
 }
 
-/// Why a sign-off is not accepted.
+/// Errors of signing and verification.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SignError {
-    /// The signer is not among those trusted.
+    /// The signer is not trusted.
     #[error("signer '{0}' is not trusted here")]
-    Unknown(String),
-    /// The signature does not fit the manifest.
+    UnknownSigner(String),
+    /// The signature does not match the manifest.
     #[error(
-        "the signature of '{0}' does not fit this bundle: it was altered, or another was signed"
+        "the signature of '{0}' does not match this bundle: it was altered, or another one was signed"
     )]
-    Mismatch(String),
-    /// A key is not 32 bytes in base64, or not a valid one.
+    InvalidSignature(String),
+    /// The text is not a valid 32-byte key in base64.
     #[error("not an Ed25519 key in base64")]
-    Key,
+    InvalidKey,
 }
 
-/// An operator's secret key.
+/// An operator's signing key.
 pub struct Signer {
     name: String,
     key: SigningKey,
@@ -48,16 +48,16 @@
 }
 
 impl Signer {
-    /// Builds a signer from 32 secret bytes.
+    /// Creates a signer from a 32-byte secret key.
     #[must_use]
     pub fn from_secret(name: &str, secret: &[u8; 32]) -> Self {
         Self { name: name.to_owned(), key: SigningKey::from_bytes(secret) }
     }
 
-    /// Reads a signer from a secret key in base64.
+    /// Creates a signer from a secret key in base64.
     ///
     /// # Errors
-    /// [`SignError::Key`] unless it is 32 bytes.
+    /// Returns [`SignError::InvalidKey`] unless `text` encodes 32 bytes.
     pub fn from_base64(name: &str, text: &str) -> Result<Self, SignError> {
         let secret = key_bytes(text)?;
         Ok(Self::from_secret(name, &secret))
@@ -69,7 +69,7 @@
         BASE64.encode(self.key.verifying_key().as_bytes())
     }
 
-    /// Signs off a manifest.
+    /// Signs the digest of a manifest.
     #[must_use]
     pub fn sign(&self, manifest: &Digest) -> Signature {
         let bytes = self.key.sign(message(manifest).as_bytes()).to_bytes();
@@ -77,7 +77,7 @@
     }
 }
 
-/// Public keys of operators, by name.
+/// Trusted public keys, by operator name.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Trust {
     keys: BTreeMap<String, VerifyingKey>,
@@ -87,14 +87,14 @@
     /// Adds an operator's public key in base64.
     ///
     /// # Errors
-    /// [`SignError::Key`] if it is none.
+    /// Returns [`SignError::InvalidKey`] if `key` is not a valid key.
     pub fn add(&mut self, name: &str, key: &str) -> Result<(), SignError> {
-        let key = VerifyingKey::from_bytes(&key_bytes(key)?).map_err(|_| SignError::Key)?;
+        let key = VerifyingKey::from_bytes(&key_bytes(key)?).map_err(|_| SignError::InvalidKey)?;
         self.keys.insert(name.to_owned(), key);
         Ok(())
     }
 
-    /// Returns these keys and those of `other`, which win where a name is in both.
+    /// Returns the union of both sets; `other` takes precedence for equal names.
     #[must_use]
     pub fn with(&self, other: &Self) -> Self {
         let mut keys = self.keys.clone();
@@ -102,19 +102,20 @@
         Self { keys }
     }
 
-    /// Checks a sign-off.
+    /// Verifies a signature of a manifest.
     ///
     /// # Errors
-    /// [`SignError::Unknown`] or [`SignError::Mismatch`].
+    /// Returns [`SignError::UnknownSigner`] or [`SignError::InvalidSignature`].
     pub fn verify(&self, manifest: &Digest, s: &Signature) -> Result<(), SignError> {
-        let key = self.keys.get(&s.signer).ok_or_else(|| SignError::Unknown(s.signer.clone()))?;
-        let mismatch = || SignError::Mismatch(s.signer.clone());
-        let raw = BASE64.decode(&s.bytes).map_err(|_| mismatch())?;
-        let sig = ed25519_dalek::Signature::from_slice(&raw).map_err(|_| mismatch())?;
-        key.verify_strict(message(manifest).as_bytes(), &sig).map_err(|_| mismatch())
+        let key =
+            self.keys.get(&s.signer).ok_or_else(|| SignError::UnknownSigner(s.signer.clone()))?;
+        let invalid = || SignError::InvalidSignature(s.signer.clone());
+        let raw = BASE64.decode(&s.bytes).map_err(|_| invalid())?;
+        let sig = ed25519_dalek::Signature::from_slice(&raw).map_err(|_| invalid())?;
+        key.verify_strict(message(manifest).as_bytes(), &sig).map_err(|_| invalid())
     }
 
-    /// Returns whether no key is held.
+    /// Returns whether the set is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.keys.is_empty()
@@ -126,5 +127,5 @@
 }
 
 fn key_bytes(text: &str) -> Result<[u8; 32], SignError> {
-    BASE64.decode(text.trim()).ok().and_then(|v| v.try_into().ok()).ok_or(SignError::Key)
+    BASE64.decode(text.trim()).ok().and_then(|v| v.try_into().ok()).ok_or(SignError::InvalidKey)
 }
