--- a/crates/honeypulley_platform/src/accept.rs
+++ b/crates/honeypulley_platform/src/accept.rs
@@ -1,4 +1,4 @@
-//! Acceptance of a bundle: parts, manifest, then one conditional update.
+//! Rollout of a bundle: writes parts and manifest, then the head by a conditional write.
 
 use crate::api::{Expect, Platform, PlatformError};
 use bytes::Bytes;
@@ -9,71 +9,71 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Key of the head.
+/// Key of the head object.
 pub const HEAD: &str = "bundle/head";
-/// Attempts of one call before it is reported to the operator.
-const TRIES: u32 = 6;
-/// First wait between two tries; doubles, with jitter.
-const FIRST_WAIT: Duration = Duration::from_millis(50);
+/// Maximum number of attempts of one call before its error is returned.
+const MAX_ATTEMPTS: u32 = 6;
+/// Base delay before the first retry; doubles with each retry, with jitter.
+const BASE_DELAY: Duration = Duration::from_millis(50);
 
-/// Returns the key of a manifest.
+/// Returns the key of the manifest with the digest `d`.
 #[must_use]
 pub fn manifest_key(d: &Digest) -> String {
     format!("bundle/manifest/{d}")
 }
 
-/// Returns the key of a part.
+/// Returns the key of the part with the digest `d`.
 #[must_use]
 pub fn part_key(d: &Digest) -> String {
     format!("bundle/part/{d}")
 }
 
-/// A head with the version of its object.
+/// A head with its object version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredHead {
-    /// The head.
+    /// Decoded head.
     pub head: Head,
-    /// Version of the object, for the conditional update.
+    /// Object version, used as the condition of the next write.
     pub object: Revision,
 }
 
-/// An acceptance that took effect.
+/// Result of a successful rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Accepted {
-    /// Version it became.
+    /// Version that the rollout was accepted as.
     pub version: Version,
-    /// Whether an answer was lost on the way and resolved by reading back.
+    /// Whether an answer to the write was lost and its outcome determined afterwards.
     pub resolved: bool,
 }
 
-/// Why a roll-out did not take effect, or isn't known to have.
+/// Errors of a rollout, including an unknown outcome.
 #[derive(Clone, Debug, thiserror::Error)]
 pub enum AcceptError {
-    /// Another operator's roll-out came first.
+    /// Another rollout was accepted first.
     #[error(
-        "roll-out: {won} by '{by}' was accepted first; nothing of yours was lost, look at it and roll out again"
+        "roll-out: {won} by '{by}' was accepted first; your rollout changed nothing, review that version and roll out again"
     )]
     Lost {
-        /// Version that won.
+        /// Version that was accepted instead.
         won: Version,
-        /// Its signer.
+        /// Signer of that version.
         by: String,
     },
-    /// The platform could not be asked; nothing took effect.
+    /// The platform call failed; the rollout had no effect.
     #[error("roll-out: nothing took effect: {0}")]
     Nothing(PlatformError),
-    /// The write may have taken effect.
+    /// The outcome is unknown; the write may have taken effect.
     #[error(
         "roll-out {rollout}: outcome unknown, run `honeypulley status` once the platform answers: {cause}"
     )]
     Unknown {
-        /// The roll-out's own id, as the head shows it if it was accepted.
+        /// Unique id of the rollout, which the head contains if it was accepted.
         rollout: String,
-        /// The last error.
+        /// Error of the last attempt.
         cause: PlatformError,
     },
-    /// An object does not parse.
-    #[error("roll-out: {key}: the platform holds something that isn't ours")]
+    /// An object is missing or cannot be decoded.
+    #[error("roll-out: {key}: the platform's object is missing or was not written by this tool")]
     Foreign {
         /// Key of the object.
         key: String,
@@ -83,7 +83,7 @@
 /// Reads the head.
 ///
 /// # Errors
-/// [`AcceptError::Nothing`] or [`AcceptError::Foreign`].
+/// Returns [`AcceptError::Nothing`] or [`AcceptError::Foreign`].
 pub async fn read_head(p: &dyn Platform) -> Result<Option<StoredHead>, AcceptError> {
     let found = retry(|| p.get(HEAD)).await.map_err(AcceptError::Nothing)?;
     let Some(o) = found else { return Ok(None) };
@@ -93,10 +93,10 @@
     }
 }
 
-/// Reads the manifest that a head names.
+/// Reads the manifest with the digest `d`.
 ///
 /// # Errors
-/// [`AcceptError::Nothing`] or [`AcceptError::Foreign`].
+/// Returns [`AcceptError::Nothing`] or [`AcceptError::Foreign`].
 pub async fn read_manifest(p: &dyn Platform, d: &Digest) -> Result<Manifest, AcceptError> {
     let key = manifest_key(d);
     let found = retry(|| p.get(&key)).await.map_err(AcceptError::Nothing)?;
@@ -107,13 +107,16 @@
     }
 }
 
-/// Stores a split bundle and accepts it over `base`, above the version that boxes have in force.
+/// Stores a partitioned bundle and replaces the head `base`.
 ///
-/// `rollout` is the roll-out's own id: if the answer of the last write is lost,
-/// the head is read back and searched for it. Nothing is written blindly twice.
+/// The new version is higher than `in_force`, the one that is active on the boxes.
+/// `rollout` is the unique id of the rollout: if the answer to the write of the head is
+/// lost, the head is read and searched for this id. All writes are conditional, so a
+/// retry cannot apply a write twice.
 ///
 /// # Errors
-/// See [`AcceptError`]; only [`AcceptError::Unknown`] may have taken effect.
+/// Returns an [`AcceptError`]; only with [`AcceptError::Unknown`] may the rollout have
+/// taken effect.
 pub async fn accept(
     p: &dyn Platform,
     base: Option<&StoredHead>,
@@ -139,7 +142,7 @@
     swap_head(p, &head, expect).await
 }
 
-/// Writes an object named by its digest; one that stands already is the same.
+/// Writes an object whose key is its digest; an existing one has the same content.
 async fn store(p: &dyn Platform, key: &str, value: Bytes) -> Result<(), AcceptError> {
     match retry(|| p.put(key, value.clone(), Expect::Absent)).await {
         Ok(_) | Err(PlatformError::Conflict { .. }) => Ok(()),
@@ -147,65 +150,67 @@
     }
 }
 
+/// Writes the head if `expect` holds, with retries.
 async fn swap_head(p: &dyn Platform, head: &Head, expect: Expect) -> Result<Accepted, AcceptError> {
-    let value = Bytes::from(serde_json::to_vec(head).expect("a head is plain data"));
-    let (mut unsure, mut last) = (false, None);
-    for turn in 0..TRIES {
-        pause(turn).await;
+    let value = Bytes::from(serde_json::to_vec(head).expect("a head serializes to JSON"));
+    let (mut uncertain, mut last) = (false, None);
+    for attempt in 0..MAX_ATTEMPTS {
+        backoff(attempt).await;
         let Err(error) = p.put(HEAD, value.clone(), expect).await else {
-            return Ok(Accepted { version: head.version, resolved: unsure });
+            return Ok(Accepted { version: head.version, resolved: uncertain });
         };
         match error {
             PlatformError::Unavailable { .. } | PlatformError::Compacted { .. } => {}
-            // The condition makes a second write safe, but only reading back
-            // tells whether the first took effect.
-            PlatformError::Unknown { .. } | PlatformError::Restored { .. } => unsure = true,
-            PlatformError::Conflict { .. } => return resolve(p, head, unsure).await,
+            // The condition makes a retry safe, but only reading the head shows
+            // whether the first write took effect.
+            PlatformError::Unknown { .. } | PlatformError::Restored { .. } => uncertain = true,
+            PlatformError::Conflict { .. } => return resolve(p, head, uncertain).await,
         }
         last = Some(error);
     }
-    let cause = last.expect("at least one try was made");
-    if unsure {
+    let cause = last.expect("MAX_ATTEMPTS is at least one");
+    if uncertain {
         return Err(AcceptError::Unknown { rollout: head.rollout.clone(), cause });
     }
     Err(AcceptError::Nothing(cause))
 }
 
-/// Reads the head after a conflict: the winner may be this very roll-out.
-async fn resolve(p: &dyn Platform, head: &Head, unsure: bool) -> Result<Accepted, AcceptError> {
-    let now = match read_head(p).await {
+/// Reads the head after a conflict, which may have been caused by this same rollout.
+async fn resolve(p: &dyn Platform, head: &Head, uncertain: bool) -> Result<Accepted, AcceptError> {
+    let current = match read_head(p).await {
         Ok(Some(s)) => s.head,
         Ok(None) => return Err(AcceptError::Foreign { key: HEAD.to_owned() }),
-        Err(AcceptError::Nothing(cause)) if unsure => {
+        Err(AcceptError::Nothing(cause)) if uncertain => {
             return Err(AcceptError::Unknown { rollout: head.rollout.clone(), cause });
         }
         Err(e) => return Err(e),
     };
-    match now.version_of(&head.rollout) {
+    match current.version_of(&head.rollout) {
         Some(version) => Ok(Accepted { version, resolved: true }),
-        None => Err(AcceptError::Lost { won: now.version, by: now.signature.signer }),
+        None => Err(AcceptError::Lost { won: current.version, by: current.signature.signer }),
     }
 }
 
-/// Repeats a call that is safe to repeat, with backoff and jitter.
+/// Retries an idempotent call with exponential backoff and jitter.
 async fn retry<T, F>(mut call: impl FnMut() -> F) -> Result<T, PlatformError>
 where
     F: Future<Output = Result<T, PlatformError>>,
 {
-    let mut turn = 0;
+    let mut attempts = 0;
     loop {
-        pause(turn).await;
-        turn += 1;
+        backoff(attempts).await;
+        attempts += 1;
         match call().await {
-            Err(e) if turn < TRIES && !matches!(e, PlatformError::Conflict { .. }) => {}
+            Err(e) if attempts < MAX_ATTEMPTS && !matches!(e, PlatformError::Conflict { .. }) => {}
             other => return other,
         }
     }
 }
 
-async fn pause(turn: u32) {
-    if turn > 0 {
-        let wait = FIRST_WAIT * 2u32.pow(turn - 1);
-        tokio::time::sleep(wait.mul_f64(0.5 + fastrand::f64())).await;
+/// Waits before the retry with the number `attempt`; returns at once for attempt zero.
+async fn backoff(attempt: u32) {
+    if attempt > 0 {
+        let delay = BASE_DELAY * 2u32.pow(attempt - 1);
+        tokio::time::sleep(delay.mul_f64(0.5 + fastrand::f64())).await;
     }
 }
--- a/crates/honeypulley_platform/src/api.rs
+++ b/crates/honeypulley_platform/src/api.rs
@@ -1,4 +1,4 @@
-//! The trait every platform client implements.
+//! Trait and types of the platform's object API.
 
 use async_trait::async_trait;
 use bytes::Bytes;
@@ -6,117 +6,117 @@
 use std::fmt::Debug;
 use std::time::Duration;
 
-/// Largest value the platform holds, in bytes.
+/// Maximum size of a value, in bytes.
 pub const MAX_VALUE: usize = 1_000_000;
 
-/// A stored value.
+/// A stored object.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Object {
-    /// Its key.
+    /// Key of the object.
     pub key: String,
-    /// Its bytes.
+    /// Content of the object.
     pub value: Bytes,
-    /// Position at which it was last written.
+    /// Revision of the last write.
     pub version: Revision,
 }
 
-/// Condition of a write.
+/// Precondition of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Expect {
-    /// There is no such object yet.
+    /// The object does not exist.
     Absent,
-    /// The object is at this version.
+    /// The object has this version.
     Version(Revision),
 }
 
-/// An object that is gone.
+/// A deleted object.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Removed {
-    /// Its key.
+    /// Key of the object.
     pub key: String,
-    /// Position at which it went.
+    /// Revision of the deletion.
     pub version: Revision,
 }
 
 /// Changes under a prefix.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Changes {
-    /// Position up to which this is complete.
+    /// Revision up to which the changes are complete.
     pub version: Revision,
-    /// Objects written since the version asked for.
+    /// Objects written after the requested revision.
     pub objects: Vec<Object>,
-    /// Objects gone since the version asked for, where the platform tells.
+    /// Objects deleted after the requested revision, if the platform reports deletions.
     pub removed: Vec<Removed>,
 }
 
-/// How fresh a list must be.
+/// Consistency of a list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Freshness {
-    /// As of the call.
+    /// Reflects all writes before the call.
     Latest,
-    /// May be seconds old, and costs less.
+    /// May be some seconds old; cheaper for the platform.
     Stale,
 }
 
-/// Why a call to the platform failed.
+/// Errors of calls to the platform.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PlatformError {
-    /// The condition of the write did not hold; nothing was written.
-    #[error("platform: {key} was changed by another, now at version {current}")]
+    /// The precondition of the write did not hold; nothing was written.
+    #[error("platform: {key} was changed concurrently, it is at version {current}")]
     Conflict {
         /// Key of the object.
         key: String,
-        /// Version it is at, zero if it is absent or not known.
+        /// Current version, zero if the object is absent or its version is unknown.
         current: Revision,
     },
-    /// The platform refused before doing anything: over its rate, or away.
-    #[error("platform at {peer}: {step}: not available: {cause}")]
+    /// The platform is unreachable or over its rate limit; the call had no effect.
+    #[error("platform at {peer}: {step}: unavailable: {cause}")]
     Unavailable {
-        /// Address asked.
+        /// Address of the platform.
         peer: String,
-        /// What was being done.
+        /// Name of the operation.
         step: &'static str,
-        /// What went wrong.
+        /// Underlying error.
         cause: String,
     },
-    /// The platform forgot the changes since the version asked for.
-    #[error("platform at {peer}: the history since version {after} is gone")]
+    /// The history after the requested revision has been compacted.
+    #[error("platform at {peer}: the history after version {after} has been compacted")]
     Compacted {
-        /// Address asked.
+        /// Address of the platform.
         peer: String,
-        /// Version asked for.
+        /// Requested revision.
         after: Revision,
     },
-    /// The platform was restored from a backup: its answer is of another epoch than asked for.
+    /// The platform was restored from a backup: its answer is of an unexpected epoch.
     ///
-    /// Nothing that was known of its positions holds. A write may have taken effect.
+    /// Revisions of the earlier epoch are invalid. A write may have taken effect.
     #[error(
         "platform at {peer}: {step}: restored from a backup, epoch {found} in place of {wanted}"
     )]
     Restored {
-        /// Address asked.
+        /// Address of the platform.
         peer: String,
-        /// What was being done.
+        /// Name of the operation.
         step: &'static str,
-        /// Epoch that the call was about.
+        /// Epoch that the call expected.
         wanted: u64,
         /// Epoch of the answer.
         found: u64,
     },
-    /// No answer came: a write may or may not have taken effect.
+    /// No answer was received; a write may have taken effect.
     #[error("platform at {peer}: {step}: no answer, outcome unknown: {cause}")]
     Unknown {
-        /// Address asked.
+        /// Address of the platform.
         peer: String,
-        /// What was being done.
+        /// Name of the operation.
         step: &'static str,
-        /// What went wrong.
+        /// Underlying error.
         cause: String,
     },
 }
 
 impl PlatformError {
-    /// Returns whether the position asked from is of no use any more.
+    /// Returns whether the requested revision is invalid, so that a new list is needed.
     #[must_use]
     pub const fn has_lost_place(&self) -> bool {
         matches!(self, Self::Compacted { .. } | Self::Restored { .. })
@@ -125,30 +125,30 @@
 
 /// The platform's object API.
 ///
-/// Reads are taken to be linearizable with writes within one epoch of the platform. Restored from
-/// a backup, it loses its latest writes, also acknowledged ones, and gives their versions out again
-/// in its next epoch.
+/// Reads are assumed to be linearizable with writes within one epoch of the platform. A restore
+/// from a backup begins a new epoch: the latest writes are lost, including acknowledged ones, and
+/// their version numbers are reused.
 #[async_trait]
 pub trait Platform: Debug + Send + Sync {
-    /// Reads one object.
+    /// Reads an object.
     ///
     /// # Errors
-    /// Any [`PlatformError`] but a conflict.
+    /// Returns any [`PlatformError`] except a conflict.
     async fn get(&self, key: &str) -> Result<Option<Object>, PlatformError>;
 
-    /// Writes one object if `expect` holds; returns its new version.
+    /// Writes an object if `expect` holds and returns its new version.
     ///
     /// # Errors
-    /// Any [`PlatformError`].
+    /// Returns any [`PlatformError`].
     async fn put(&self, key: &str, value: Bytes, expect: Expect)
     -> Result<Revision, PlatformError>;
 
-    /// Returns what changed under `prefix` after `after`, waiting up to `wait`.
+    /// Returns the changes under `prefix` since `after`, waiting up to `wait` for one.
     ///
-    /// An empty answer after the wait confirms that nothing changed.
+    /// An empty result confirms that there were no changes.
     ///
     /// # Errors
-    /// Any [`PlatformError`] but a conflict.
+    /// Returns any [`PlatformError`] except a conflict.
     async fn watch(
         &self,
         prefix: &str,
@@ -156,22 +156,22 @@
         wait: Duration,
     ) -> Result<Changes, PlatformError>;
 
-    /// Returns every object under `prefix`.
+    /// Returns all objects under `prefix`.
     ///
     /// # Errors
-    /// Any [`PlatformError`] but a conflict.
+    /// Returns any [`PlatformError`] except a conflict.
     async fn list(&self, prefix: &str, _: Freshness) -> Result<Changes, PlatformError> {
         self.watch(prefix, Revision::ZERO, Duration::ZERO).await
     }
 
-    /// Returns the newest epoch that any answer named, zero if none did.
+    /// Returns the newest epoch received in an answer, or zero.
     fn epoch(&self) -> u64 {
         0
     }
 
-    /// Returns the lagging list of boxes and upstreams, as JSON.
+    /// Returns the delayed list of boxes and upstreams as JSON.
     ///
     /// # Errors
-    /// Any [`PlatformError`] but a conflict.
+    /// Returns any [`PlatformError`] except a conflict.
     async fn members(&self) -> Result<Bytes, PlatformError>;
 }
--- a/crates/honeypulley_platform/src/epoch.rs
+++ b/crates/honeypulley_platform/src/epoch.rs
@@ -1,44 +1,44 @@
-//! Which epoch an answer of the platform belongs to.
+//! Epochs of the platform, which count its restores from backups.
 
 use crate::api::PlatformError;
 use honeypulley_policy::revision::Revision;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
-/// The newest epoch that any answer named.
+/// Tracks the newest epoch received in an answer.
 #[derive(Debug, Default)]
 pub struct KnownEpoch {
     newest: AtomicU64,
-    /// Whether an unreadable epoch was logged.
-    odd: AtomicBool,
+    /// Whether a malformed epoch has been logged; the warning is written once.
+    warned: AtomicBool,
 }
 
 impl KnownEpoch {
-    /// Returns the newest epoch that any answer named, zero if none did.
+    /// Returns the newest epoch received in an answer, or zero.
     pub fn get(&self) -> u64 {
         self.newest.load(Ordering::Acquire)
     }
 
-    /// Returns the epoch that an answer belongs to, from what its head names.
+    /// Returns the epoch of an answer from its header value, and records it.
     ///
-    /// An answer that names none, or something unreadable, counts as of the newest epoch known:
-    /// a proxy in between may have given it, and the next answer tells.
+    /// An answer without an epoch, or with a malformed one, is assigned to the newest known
+    /// epoch: a proxy may have generated it, and the next answer will contain the epoch.
     ///
     /// # Errors
-    /// [`PlatformError::Restored`] if a later answer has named a newer epoch before.
+    /// Returns [`PlatformError::Restored`] if the epoch is older than the newest known one.
     pub fn place(
         &self,
         peer: &str,
         step: &'static str,
-        named: Option<&[u8]>,
+        header: Option<&[u8]>,
     ) -> Result<u64, PlatformError> {
-        let text = named.map(String::from_utf8_lossy);
+        let text = header.map(String::from_utf8_lossy);
         let Some(found) = text.as_deref().and_then(|t| t.trim().parse().ok()) else {
             let known = self.get();
             if let Some(t) = text
-                && !self.odd.swap(true, Ordering::Relaxed)
+                && !self.warned.swap(true, Ordering::Relaxed)
             {
-                let head: String = t.chars().take(20).collect();
-                log::warn!(peer, step; "platform: epoch {head:?} can't be read, {known} is assumed");
+                let value: String = t.chars().take(20).collect();
+                log::warn!(peer, step; "platform: malformed epoch {value:?} in an answer, assuming epoch {known}");
             }
             return Ok(known);
         };
@@ -51,10 +51,10 @@
     }
 }
 
-/// Checks that an answer belongs to the epoch that the call was about.
+/// Checks that an answer is of the epoch that the call expected.
 ///
 /// # Errors
-/// [`PlatformError::Restored`] if it does not.
+/// Returns [`PlatformError::Restored`] if it is not.
 pub fn same_epoch(
     peer: &str,
     step: &'static str,
@@ -67,7 +67,10 @@
     Err(PlatformError::Restored { peer: peer.to_owned(), step, wanted, found })
 }
 
-/// Refuses a write whose condition names a version of an earlier epoch; nothing is written.
+/// Returns the error of a write whose precondition is a version of an earlier epoch.
+///
+/// Such a write is rejected without a call to the platform, as version numbers are reused
+/// after a restore.
 #[must_use]
 pub fn outdated(key: &str) -> PlatformError {
     PlatformError::Conflict { key: key.to_owned(), current: Revision::ZERO }
--- a/crates/honeypulley_platform/src/http.rs
+++ b/crates/honeypulley_platform/src/http.rs
@@ -1,10 +1,11 @@
-//! The platform's object API over HTTP with JSON.
+//! HTTP client of the platform's object API.
 //!
-//! Each answer names the platform's epoch in `platform-epoch`, if the platform counts them.
+//! - `GET /objects/KEY` reads an object and returns its version in `etag`.
+//! - `PUT /objects/KEY` writes an object under `if-match: VERSION` or `if-none-match: *`.
+//! - `GET /watch?prefix=&after=&wait_ms=` waits for changes and returns them as JSON.
+//! - `GET /members` returns the list of boxes and upstreams with an `etag`.
 //!
-//! `GET /objects/KEY` reads, with the version in `etag`. `PUT /objects/KEY`
-//! writes under `if-match: VERSION` or `if-none-match: *`. `GET
-//! /watch?prefix=&after=&wait_ms=` waits. `GET /members` lists, with an `etag`.
+//! Each answer contains the platform's epoch in `platform-epoch`, if the platform counts epochs.
 
 use crate::api::{Changes, Expect, Object, Platform, PlatformError};
 use crate::epoch::{KnownEpoch, outdated, same_epoch};
@@ -18,47 +19,47 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Time for one call, beyond what a watch waits.
-const CALL_TIME: Duration = Duration::from_secs(2);
+/// Time-out of a call, in addition to the wait of a watch.
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Header that names the platform's epoch.
+/// Header with the platform's epoch.
 pub const EPOCH: &str = "platform-epoch";
 
-/// Object as the watch's JSON carries it.
+/// An object in the JSON answer of a watch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WireObject {
-    /// Its key.
+    /// Key of the object.
     pub key: String,
-    /// Its value in base64.
+    /// Content of the object in base64.
     pub value: String,
-    /// Its version.
+    /// Version of the object.
     pub version: u64,
 }
 
-/// Answer of a watch as JSON.
+/// JSON answer of a watch.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WireChanges {
-    /// Version up to which this is complete.
+    /// Version up to which the changes are complete.
     pub version: u64,
     /// Changed objects.
     pub objects: Vec<WireObject>,
 }
 
-/// Client of the platform's object API.
+/// HTTP client of the platform's object API.
 #[derive(Debug)]
 pub struct HttpPlatform {
     base: String,
     client: Client,
-    /// The list as last read, with its tag: an unchanged one is not moved again.
-    listed: Mutex<Option<(HeaderValue, Bytes)>>,
+    /// Last list of members with its entity tag, which avoids transferring an unchanged list.
+    members: Mutex<Option<(HeaderValue, Bytes)>>,
     epoch: KnownEpoch,
 }
 
 impl HttpPlatform {
-    /// Builds a client for the platform at `addr`, an IP number and port.
+    /// Creates a client for the platform at `addr`, an IP address and port.
     ///
     /// # Errors
-    /// Returns an error if the HTTP client can't be set up.
+    /// Returns an error if the HTTP client cannot be built.
     pub fn new(addr: &str) -> Result<Self, PlatformError> {
         let client = Client::builder()
             .no_proxy()
@@ -69,7 +70,7 @@
         Ok(Self {
             base: format!("http://{addr}"),
             client,
-            listed: Mutex::new(None),
+            members: Mutex::new(None),
             epoch: KnownEpoch::default(),
         })
     }
@@ -78,17 +79,21 @@
         format!("{}/objects/{key}", self.base)
     }
 
-    /// Sorts a failed call into one that did nothing and one that may have.
-    fn lost(&self, step: &'static str, e: &reqwest::Error) -> PlatformError {
+    /// Classifies a failed call.
+    ///
+    /// Only a connection error guarantees that the call had no effect.
+    fn call_error(&self, step: &'static str, e: &reqwest::Error) -> PlatformError {
         if e.is_connect() {
             return unavailable(&self.base, step, e);
         }
-        PlatformError::Unknown { peer: self.base.clone(), step, cause: cause(e) }
+        PlatformError::Unknown { peer: self.base.clone(), step, cause: root_cause(e) }
     }
 
-    fn refused(&self, step: &'static str, status: StatusCode) -> PlatformError {
+    /// Classifies an unexpected status.
+    ///
+    /// Only 503 and 429 guarantee that the call had no effect.
+    fn status_error(&self, step: &'static str, status: StatusCode) -> PlatformError {
         let (peer, cause) = (self.base.clone(), format!("status {status}"));
-        // Only these two promise that nothing was done.
         if matches!(status, StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS) {
             return PlatformError::Unavailable { peer, step, cause };
         }
@@ -99,32 +104,32 @@
         &self,
         step: &'static str,
         url: String,
-        time: Duration,
+        timeout: Duration,
     ) -> Result<(Response, u64), PlatformError> {
-        let sent = self.client.get(url).timeout(time).send().await;
-        let answer = sent.map_err(|e| self.lost(step, &e))?;
+        let sent = self.client.get(url).timeout(timeout).send().await;
+        let answer = sent.map_err(|e| self.call_error(step, &e))?;
         let epoch = self.place(step, &answer)?;
         Ok((answer, epoch))
     }
 
-    /// Returns the epoch that an answer belongs to.
+    /// Returns the epoch of an answer and records it.
     fn place(&self, step: &'static str, answer: &Response) -> Result<u64, PlatformError> {
-        let named = answer.headers().get(EPOCH).map(HeaderValue::as_bytes);
-        self.epoch.place(&self.base, step, named)
+        let header = answer.headers().get(EPOCH).map(HeaderValue::as_bytes);
+        self.epoch.place(&self.base, step, header)
     }
 }
 
 #[async_trait]
 impl Platform for HttpPlatform {
     async fn get(&self, key: &str) -> Result<Option<Object>, PlatformError> {
-        let (answer, epoch) = self.read("read", self.url(key), CALL_TIME).await?;
+        let (answer, epoch) = self.read("read", self.url(key), CALL_TIMEOUT).await?;
         match answer.status() {
             StatusCode::OK => {}
             StatusCode::NOT_FOUND => return Ok(None),
-            other => return Err(self.refused("read", other)),
+            other => return Err(self.status_error("read", other)),
         }
         let version = Revision::new(epoch, etag(&answer));
-        let value = answer.bytes().await.map_err(|e| self.lost("read", &e))?;
+        let value = answer.bytes().await.map_err(|e| self.call_error("read", &e))?;
         Ok(Some(Object { key: key.to_owned(), value, version }))
     }
 
@@ -134,18 +139,18 @@
         value: Bytes,
         expect: Expect,
     ) -> Result<Revision, PlatformError> {
-        let request = self.client.put(self.url(key)).timeout(CALL_TIME).body(value);
+        let request = self.client.put(self.url(key)).timeout(CALL_TIMEOUT).body(value);
         let request = match expect {
             Expect::Absent => request.header(header::IF_NONE_MATCH, "*"),
             Expect::Version(v) if v.epoch < self.epoch.get() => return Err(outdated(key)),
             Expect::Version(v) => request.header(header::IF_MATCH, v.number.to_string()),
         };
-        let answer = request.send().await.map_err(|e| self.lost("write", &e))?;
+        let answer = request.send().await.map_err(|e| self.call_error("write", &e))?;
         let epoch = self.place("write", &answer)?;
         let version = Revision::new(epoch, etag(&answer));
         match answer.status() {
             StatusCode::OK => {
-                // The number of a lost version may be another one's by now.
+                // After a restore, the same version number may belong to another write.
                 if let Expect::Version(v) = expect {
                     same_epoch(&self.base, "write", v.epoch, epoch)?;
                 }
@@ -154,7 +159,7 @@
             StatusCode::PRECONDITION_FAILED => {
                 Err(PlatformError::Conflict { key: key.to_owned(), current: version })
             }
-            other => Err(self.refused("write", other)),
+            other => Err(self.status_error("write", other)),
         }
     }
 
@@ -169,7 +174,7 @@
         if number > 0 && after.epoch < self.epoch.get() {
             same_epoch(&self.base, "watch", after.epoch, self.epoch.get())?;
         }
-        let (answer, epoch) = self.read("watch", url, wait + CALL_TIME).await?;
+        let (answer, epoch) = self.read("watch", url, wait + CALL_TIMEOUT).await?;
         if number > 0 {
             same_epoch(&self.base, "watch", after.epoch, epoch)?;
         }
@@ -178,9 +183,9 @@
             StatusCode::GONE => {
                 return Err(PlatformError::Compacted { peer: self.base.clone(), after });
             }
-            other => return Err(self.refused("watch", other)),
+            other => return Err(self.status_error("watch", other)),
         }
-        let wire: WireChanges = answer.json().await.map_err(|e| self.lost("watch", &e))?;
+        let wire: WireChanges = answer.json().await.map_err(|e| self.call_error("watch", &e))?;
         let decode = |o: WireObject| {
             let value = BASE64.decode(&o.value).ok()?.into();
             Some(Object { key: o.key, value, version: Revision::new(epoch, o.version) })
@@ -195,20 +200,20 @@
     }
 
     async fn members(&self) -> Result<Bytes, PlatformError> {
-        let held = self.listed.lock().clone();
-        let mut request = self.client.get(format!("{}/members", self.base)).timeout(CALL_TIME);
-        if let Some((tag, _)) = &held {
+        let cached = self.members.lock().clone();
+        let mut request = self.client.get(format!("{}/members", self.base)).timeout(CALL_TIMEOUT);
+        if let Some((tag, _)) = &cached {
             request = request.header(header::IF_NONE_MATCH, tag);
         }
-        let answer = request.send().await.map_err(|e| self.lost("list", &e))?;
-        match (answer.status(), held) {
+        let answer = request.send().await.map_err(|e| self.call_error("list", &e))?;
+        match (answer.status(), cached) {
             (StatusCode::OK, _) => {}
             (StatusCode::NOT_MODIFIED, Some((_, json))) => return Ok(json),
-            (other, _) => return Err(self.refused("list", other)),
+            (other, _) => return Err(self.status_error("list", other)),
         }
         let tag = answer.headers().get(header::ETAG).cloned();
-        let json = answer.bytes().await.map_err(|e| self.lost("list", &e))?;
-        *self.listed.lock() = tag.map(|t| (t, json.clone()));
+        let json = answer.bytes().await.map_err(|e| self.call_error("list", &e))?;
+        *self.members.lock() = tag.map(|t| (t, json.clone()));
         Ok(json)
     }
 }
@@ -219,11 +224,11 @@
 }
 
 fn unavailable(peer: &str, step: &'static str, e: &reqwest::Error) -> PlatformError {
-    PlatformError::Unavailable { peer: peer.to_owned(), step, cause: cause(e) }
+    PlatformError::Unavailable { peer: peer.to_owned(), step, cause: root_cause(e) }
 }
 
-/// Returns the innermost cause, which says more than the outermost.
-fn cause(e: &reqwest::Error) -> String {
+/// Returns the innermost error, which is the most specific one.
+fn root_cause(e: &reqwest::Error) -> String {
     let mut e: &dyn std::error::Error = e;
     while let Some(inner) = e.source() {
         e = inner;
--- a/crates/honeypulley_platform/src/lib.rs
+++ b/crates/honeypulley_platform/src/lib.rs
@@ -1,8 +1,8 @@
-//! The platform's object API behind a trait.
+//! Trait for the platform's object API, with an HTTP client and an in-memory store.
 //!
-//! The platform stores objects with versions, updates them on a condition, lets
-//! callers wait for changes and lists boxes with a lag. It may be away, slow, or
-//! lose an answer after the write took effect: [`PlatformError::Unknown`](api::PlatformError::Unknown).
+//! The platform stores versioned objects, supports conditional writes and watches, and
+//! lists boxes with a delay. It may be unavailable or slow, or an answer may be lost after
+//! the write took effect; see [`PlatformError::Unknown`](api::PlatformError::Unknown).
 
 pub mod accept;
 pub mod api;
@@ -12,7 +12,7 @@
 pub mod permits;
 pub mod roster;
 
-/// The names most users of this crate need.
+/// Re-exports of the most commonly used types.
 pub mod prelude {
     pub use crate::{
         accept::{AcceptError, Accepted},
--- a/crates/honeypulley_platform/src/memory.rs
+++ b/crates/honeypulley_platform/src/memory.rs
@@ -1,6 +1,6 @@
-//! An object store in memory with switches for failure.
+//! In-memory object store with fault injection.
 //!
-//! It is the fake behind tests and the store behind the stand-in platform.
+//! Used as a fake in tests and as the store of the stand-in platform.
 
 use crate::api::{Changes, Expect, Freshness, Object, Platform, PlatformError, Removed};
 use crate::epoch::{outdated, same_epoch};
@@ -12,20 +12,20 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// Failures that can be switched on.
+/// Injected faults.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Faults {
-    /// Every call is refused.
+    /// Whether all calls fail as unavailable.
     pub outage: bool,
-    /// The next so many writes take effect and lose their answer.
+    /// Number of upcoming writes that take effect but whose answers are lost.
     pub lost: u32,
-    /// The next so many writes are dropped and lose their answer.
+    /// Number of upcoming writes that are dropped without an answer.
     pub dropped: u32,
-    /// Lists that may be stale show the objects as of this version, if not zero.
+    /// Version that stale lists reflect; zero returns current lists.
     pub stale_at: u64,
 }
 
-/// A copy of the objects, to which the store can be restored.
+/// Snapshot of the objects, from which the store can be restored.
 #[derive(Clone, Debug)]
 pub struct Backup {
     objects: BTreeMap<String, Stored>,
@@ -33,7 +33,7 @@
     version: u64,
 }
 
-/// An object without its epoch, which is the store's.
+/// An object without an epoch, which is kept for the whole store.
 #[derive(Clone, Debug)]
 struct Stored {
     value: Bytes,
@@ -44,10 +44,10 @@
 struct State {
     objects: BTreeMap<String, Stored>,
     removed: Vec<(String, u64)>,
-    /// Version up to which the history of removals is gone.
-    forgotten: u64,
+    /// Version up to which the history has been compacted.
+    compacted: u64,
     version: u64,
-    /// How often the store was restored from a backup.
+    /// Number of restores from a backup.
     epoch: u64,
     members: Bytes,
     faults: Faults,
@@ -55,7 +55,7 @@
     writes: u64,
 }
 
-/// Object store in memory.
+/// In-memory object store.
 #[derive(Debug, Default)]
 pub struct MemoryPlatform {
     state: Mutex<State>,
@@ -63,13 +63,13 @@
 }
 
 impl MemoryPlatform {
-    /// Switches failures on and off.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: Faults) {
         self.state.lock().faults = faults;
         self.changed.notify_waiters();
     }
 
-    /// Returns the failures in force.
+    /// Returns the injected faults.
     pub fn faults(&self) -> Faults {
         self.state.lock().faults
     }
@@ -79,7 +79,7 @@
         self.state.lock().members = json;
     }
 
-    /// Removes an object, as its owner or the platform would.
+    /// Deletes an object, as its owner or the platform would.
     pub fn remove(&self, key: &str) {
         let mut s = self.state.lock();
         if s.objects.remove(key).is_some() {
@@ -91,16 +91,16 @@
         self.changed.notify_waiters();
     }
 
-    /// Drops the history up to now; watches from before it are refused.
+    /// Compacts the history; watches from earlier versions fail.
     pub fn compact(&self) {
         let mut s = self.state.lock();
-        s.forgotten = s.version;
+        s.compacted = s.version;
         s.removed.clear();
         drop(s);
         self.changed.notify_waiters();
     }
 
-    /// Copies the objects as they are.
+    /// Returns a snapshot of the objects.
     #[must_use]
     pub fn backup(&self) -> Backup {
         let s = self.state.lock();
@@ -109,7 +109,7 @@
 
     /// Restores the objects from a backup and begins the next epoch.
     ///
-    /// Versions that were given out since are given out again.
+    /// Version numbers assigned since the backup are reused.
     pub fn restore(&self, b: Backup) {
         let mut s = self.state.lock();
         s.objects = b.objects;
@@ -126,25 +126,27 @@
         self.state.lock().version
     }
 
-    /// Returns how many reads and writes were asked for.
+    /// Returns the number of reads and writes received.
     pub fn calls(&self) -> (u64, u64) {
         let s = self.state.lock();
         (s.reads, s.writes)
     }
 
+    /// Returns the changes under `prefix` since `after`.
     fn changes(&self, prefix: &str, after: Revision) -> Result<Changes, PlatformError> {
         let s = self.state.lock();
-        s.check("watch")?;
+        s.check_available("watch")?;
         let number = after.number;
         if number > 0 {
             same_epoch("memory", "watch", after.epoch, s.epoch)?;
         }
-        if number > s.version || (number > 0 && number < s.forgotten) {
+        if number > s.version || (number > 0 && number < s.compacted) {
             return Err(PlatformError::Compacted { peer: "memory".to_owned(), after });
         }
-        let gone = |(key, version): &&(String, u64)| key.starts_with(prefix) && *version > number;
-        let removed = s.removed.iter().filter(gone);
-        let removed = removed.map(|(key, v)| Removed { key: key.clone(), version: s.at(*v) });
+        let deleted =
+            |(key, version): &&(String, u64)| key.starts_with(prefix) && *version > number;
+        let removed = s.removed.iter().filter(deleted);
+        let removed = removed.map(|(key, v)| Removed { key: key.clone(), version: s.revision(*v) });
         let objects = s
             .objects
             .range(prefix.to_owned()..)
@@ -152,21 +154,22 @@
             .filter(|(_, o)| o.version > number)
             .map(|(k, o)| s.object(k, o))
             .collect();
-        Ok(Changes { version: s.at(s.version), objects, removed: removed.collect() })
+        Ok(Changes { version: s.revision(s.version), objects, removed: removed.collect() })
     }
 }
 
 impl State {
-    /// Returns a position in the present epoch.
-    const fn at(&self, number: u64) -> Revision {
+    /// Returns the revision of a version in the current epoch.
+    const fn revision(&self, number: u64) -> Revision {
         Revision::new(self.epoch, number)
     }
 
     fn object(&self, key: &str, o: &Stored) -> Object {
-        Object { key: key.to_owned(), value: o.value.clone(), version: self.at(o.version) }
+        Object { key: key.to_owned(), value: o.value.clone(), version: self.revision(o.version) }
     }
 
-    fn check(&self, step: &'static str) -> Result<(), PlatformError> {
+    /// Fails if an outage is injected.
+    fn check_available(&self, step: &'static str) -> Result<(), PlatformError> {
         if !self.faults.outage {
             return Ok(());
         }
@@ -175,7 +178,7 @@
     }
 }
 
-fn lost() -> PlatformError {
+fn answer_lost() -> PlatformError {
     let (peer, cause) = ("memory".to_owned(), "answer lost".to_owned());
     PlatformError::Unknown { peer, step: "write", cause }
 }
@@ -185,7 +188,7 @@
     async fn get(&self, key: &str) -> Result<Option<Object>, PlatformError> {
         let mut s = self.state.lock();
         s.reads += 1;
-        s.check("read")?;
+        s.check_available("read")?;
         Ok(s.objects.get(key).map(|o| s.object(key, o)))
     }
 
@@ -197,10 +200,10 @@
     ) -> Result<Revision, PlatformError> {
         let mut s = self.state.lock();
         s.writes += 1;
-        s.check("write")?;
+        s.check_available("write")?;
         if s.faults.dropped > 0 {
             s.faults.dropped -= 1;
-            return Err(lost());
+            return Err(answer_lost());
         }
         let current = s.objects.get(key).map_or(0, |o| o.version);
         let holds = match expect {
@@ -209,7 +212,7 @@
             Expect::Version(v) => current == v.number,
         };
         if !holds {
-            let current = if current > 0 { s.at(current) } else { Revision::ZERO };
+            let current = if current > 0 { s.revision(current) } else { Revision::ZERO };
             return Err(PlatformError::Conflict { key: key.to_owned(), current });
         }
         s.version += 1;
@@ -218,9 +221,9 @@
         self.changed.notify_waiters();
         if s.faults.lost > 0 {
             s.faults.lost -= 1;
-            return Err(lost());
+            return Err(answer_lost());
         }
-        Ok(s.at(version))
+        Ok(s.revision(version))
     }
 
     async fn watch(
@@ -230,25 +233,25 @@
         wait: Duration,
     ) -> Result<Changes, PlatformError> {
         self.state.lock().reads += 1;
-        let until = tokio::time::Instant::now() + wait;
+        let deadline = tokio::time::Instant::now() + wait;
         loop {
-            let woken = self.changed.notified();
+            let notified = self.changed.notified();
             let changes = self.changes(prefix, after)?;
             if !changes.objects.is_empty() || !changes.removed.is_empty() {
                 return Ok(changes);
             }
-            if tokio::time::timeout_at(until, woken).await.is_err() {
+            if tokio::time::timeout_at(deadline, notified).await.is_err() {
                 return self.changes(prefix, after);
             }
         }
     }
 
-    async fn list(&self, prefix: &str, f: Freshness) -> Result<Changes, PlatformError> {
+    async fn list(&self, prefix: &str, freshness: Freshness) -> Result<Changes, PlatformError> {
         self.state.lock().reads += 1;
         let mut all = self.changes(prefix, Revision::ZERO)?;
         all.removed.clear();
         let stale_at = self.state.lock().faults.stale_at;
-        if f == Freshness::Stale && stale_at > 0 {
+        if freshness == Freshness::Stale && stale_at > 0 {
             all.objects.retain(|o| o.version.number <= stale_at);
             all.version.number = stale_at;
         }
@@ -262,7 +265,7 @@
     async fn members(&self) -> Result<Bytes, PlatformError> {
         let mut s = self.state.lock();
         s.reads += 1;
-        s.check("list")?;
+        s.check_available("list")?;
         Ok(s.members.clone())
     }
 }
--- a/crates/honeypulley_platform/src/roster.rs
+++ b/crates/honeypulley_platform/src/roster.rs
@@ -1,38 +1,38 @@
-//! The lagging list of live and leaving boxes and upstreams.
+//! The platform's list of boxes and upstreams.
 
 use honeypulley_policy::spec::{Member, MemberState};
 use serde::{Deserialize, Serialize};
 
-/// One of our own boxes as the list shows it.
+/// A box in the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BoxEntry {
-    /// Name, unique within the list.
+    /// Unique name.
     pub name: String,
-    /// Address and port of the peers' protocol.
+    /// Address and port of the peer protocol.
     pub peer: String,
-    /// Data hall.
+    /// Data hall of the box.
     pub hall: String,
-    /// Live or leaving.
+    /// Whether the box is live or leaving.
     #[serde(default)]
     pub state: MemberState,
 }
 
-/// The list at one moment, late by up to some seconds.
+/// The list of boxes and upstreams, which lags by up to some seconds.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Roster {
-    /// Our boxes.
+    /// Boxes, live and leaving.
     #[serde(default)]
     pub boxes: Vec<BoxEntry>,
-    /// Upstreams.
+    /// Upstreams, live and leaving.
     #[serde(default)]
     pub upstreams: Vec<Member>,
 }
 
 impl Roster {
-    /// Reads the list from JSON.
+    /// Parses the list from JSON.
     ///
     /// # Errors
-    /// Returns what the JSON parser says.
+    /// Returns the error of the JSON parser.
     pub fn from_json(bytes: &[u8]) -> Result<Self, serde_json::Error> {
         serde_json::from_slice(bytes)
     }
@@ -42,7 +42,7 @@
         self.boxes.iter().filter(|b| b.state == MemberState::Live)
     }
 
-    /// Returns the upstreams of a service, leaving ones included.
+    /// Returns the upstreams of a service, including leaving ones.
     pub fn service<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a Member> {
         self.upstreams.iter().filter(move |m| m.service == name)
     }
--- a/crates/honeypulley_platform/tests/accept.rs
+++ b/crates/honeypulley_platform/tests/accept.rs
@@ -1,4 +1,4 @@
-//! Acceptance under outages, lost answers and races of operators.
+//! Rollouts under outages, lost answers and concurrent operators.
 
 use bytes::Bytes;
 use honeypulley_bundle::head::{Head, Version};
@@ -16,7 +16,7 @@
 fn split(n: usize) -> Split {
     let routes: String = (0..=n).map(|i| format!("h{i}.example/ = a\n")).collect();
     let text = format!("[service a]\nfloor = 1\nrepeat = reads\ndeadline = 2s\n[routes]\n{routes}");
-    Bundle::read("f.ini", &text).expect("fine").1
+    Bundle::read("f.ini", &text).expect("the bundle is valid").1
 }
 
 async fn roll_out(p: &dyn Platform, n: usize, id: &str) -> Result<Accepted, AcceptError> {
@@ -27,15 +27,15 @@
 }
 
 async fn head(p: &dyn Platform) -> Head {
-    read_head(p).await.expect("answers").expect("there").head
+    read_head(p).await.expect("the head is readable").expect("a head is stored").head
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_answer_lost_after_the_write_is_resolved_by_the_rollouts_own_id() {
+async fn a_lost_answer_is_resolved_by_the_rollout_id() {
     let p = MemoryPlatform::default();
     roll_out(&p, 1, "first").await.expect("accepted");
-    // Store the parts first, so that the lost answer is the head's.
-    let base = read_head(&p).await.expect("answers");
+    // The parts and the manifest are stored first, so that the lost answer is that of the head.
+    let base = read_head(&p).await.expect("the head is readable");
     let s = split(2);
     let signature = Signer::from_secret("alice", &[1; 32]).sign(&s.manifest.digest());
     for (d, b) in s.manifest.parts.iter().zip(&s.parts) {
@@ -49,7 +49,7 @@
         accept(&p, base.as_ref(), Version(0), &s, signature, "second").await.expect("accepted");
     assert_eq!(done, Accepted { version: Version(2), resolved: true });
     let h = head(&p).await;
-    assert_eq!((h.version, h.rollout.as_str()), (Version(2), "second"), "written once");
+    assert_eq!((h.version, h.rollout.as_str()), (Version(2), "second"), "the head is written once");
 }
 
 #[rstest]
@@ -57,7 +57,7 @@
 #[case(2)]
 #[case(3)]
 #[tokio::test(start_paused = true)]
-async fn writes_that_are_dropped_or_lost_anywhere_end_in_one_version(#[case] n: u32) {
+async fn lost_and_dropped_writes_result_in_a_single_version(#[case] n: u32) {
     for faults in
         [Faults { lost: n, ..Faults::default() }, Faults { dropped: n, ..Faults::default() }]
     {
@@ -69,7 +69,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_outage_before_acceptance_changes_nothing_and_says_so() {
+async fn an_outage_before_the_head_is_written_reports_no_effect() {
     let p = MemoryPlatform::default();
     roll_out(&p, 1, "first").await.expect("accepted");
     p.set_faults(Faults { outage: true, ..Faults::default() });
@@ -79,13 +79,14 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_outage_after_a_lost_answer_is_told_as_unknown() {
+async fn an_outage_after_a_lost_answer_reports_an_unknown_outcome() {
     let p = Arc::new(MemoryPlatform::default());
     roll_out(p.as_ref(), 1, "first").await.expect("accepted");
-    let base = read_head(p.as_ref()).await.expect("answers");
+    let base = read_head(p.as_ref()).await.expect("the head is readable");
     let s = split(1);
     let signature = Signer::from_secret("alice", &[1; 32]).sign(&s.manifest.digest());
-    // Parts stand already; three writes that lose their answer leave the head.
+    // Parts and manifest already exist, so the lost answer is that of the head. The outage
+    // begins before the first retry.
     p.set_faults(Faults { lost: 1, ..Faults::default() });
     let platform = Arc::clone(&p);
     tokio::spawn(async move {
@@ -95,18 +96,18 @@
     let got = accept(p.as_ref(), base.as_ref(), Version(0), &s, signature, "second").await;
     match got {
         Err(AcceptError::Unknown { rollout, .. }) => assert_eq!(rollout, "second"),
-        other => panic!("told {other:?}"),
+        other => panic!("expected an unknown outcome, got {other:?}"),
     }
     p.set_faults(Faults::default());
     assert_eq!(
         head(p.as_ref()).await.version_of("second"),
         Some(Version(2)),
-        "it had taken effect"
+        "the write had taken effect"
     );
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_resolved_rollout_is_known_even_after_another_followed() {
+async fn an_earlier_rollout_is_found_in_a_later_head() {
     let p = MemoryPlatform::default();
     roll_out(&p, 1, "first").await.expect("accepted");
     roll_out(&p, 2, "second").await.expect("accepted");
@@ -114,10 +115,10 @@
     assert_eq!(head(&p).await.version_of("never"), None);
 }
 
-/// Acceptances over a base as operations on one register of versions.
+/// Rollouts and reads as operations on a register that holds the version.
 #[derive(Clone, Copy, Debug)]
 enum HeadOp {
-    /// Base version, and what came of it: `Some(true)` won, `Some(false)` lost.
+    /// Base version and outcome: `Some(true)` if accepted, `Some(false)` on a conflict.
     Accept(u64, Option<bool>),
     Read(Option<u64>),
 }
@@ -144,19 +145,19 @@
 
 type Log = Arc<parking_lot::Mutex<Vec<(usize, Action<HeadOp>)>>>;
 
-async fn operator(p: Arc<MemoryPlatform>, me: usize, log: Log) {
-    for turn in 0..3 {
-        log.lock().push((me, Action::Call(HeadOp::Read(None))));
-        let base = read_head(p.as_ref()).await.expect("answers");
+async fn operator(p: Arc<MemoryPlatform>, id: usize, log: Log) {
+    for round in 0..3 {
+        log.lock().push((id, Action::Call(HeadOp::Read(None))));
+        let base = read_head(p.as_ref()).await.expect("the head is readable");
         let v = base.as_ref().map_or(0, |b| b.head.version.0);
-        log.lock().push((me, Action::Response(HeadOp::Read(Some(v)))));
-        let s = split(me * 10 + turn);
+        log.lock().push((id, Action::Response(HeadOp::Read(Some(v)))));
+        let s = split(id * 10 + round);
         let signature = Signer::from_secret("alice", &[1; 32]).sign(&s.manifest.digest());
-        log.lock().push((me, Action::Call(HeadOp::Accept(v, None))));
+        log.lock().push((id, Action::Call(HeadOp::Accept(v, None))));
         let done =
-            accept(p.as_ref(), base.as_ref(), Version(0), &s, signature, &format!("{me}.{turn}"))
+            accept(p.as_ref(), base.as_ref(), Version(0), &s, signature, &format!("{id}.{round}"))
                 .await;
-        let won = match done {
+        let accepted = match done {
             Ok(a) => {
                 assert_eq!(a.version.0, v + 1);
                 true
@@ -164,7 +165,7 @@
             Err(AcceptError::Lost { .. }) => false,
             Err(e) => panic!("{e}"),
         };
-        log.lock().push((me, Action::Response(HeadOp::Accept(v, Some(won)))));
+        log.lock().push((id, Action::Response(HeadOp::Accept(v, Some(accepted)))));
     }
 }
 
@@ -173,21 +174,21 @@
 #[case(Faults { lost: 5, ..Faults::default() })]
 #[case(Faults { dropped: 5, ..Faults::default() })]
 #[tokio::test(start_paused = true)]
-async fn racing_operators_leave_a_linearizable_head(#[case] faults: Faults) {
+async fn concurrent_rollouts_are_linearizable(#[case] faults: Faults) {
     let p = Arc::new(MemoryPlatform::default());
     p.set_faults(faults);
     let log = Log::default();
-    let racers: Vec<_> =
-        (0..3).map(|me| tokio::spawn(operator(Arc::clone(&p), me, Arc::clone(&log)))).collect();
-    for r in racers {
-        r.await.expect("no panic");
+    let operators: Vec<_> =
+        (0..3).map(|id| tokio::spawn(operator(Arc::clone(&p), id, Arc::clone(&log)))).collect();
+    for o in operators {
+        o.await.expect("no panic");
     }
     let actions = log.lock().clone();
     assert!(WGLChecker::<HeadSpec>::is_linearizable(History::from_actions(actions)));
 }
 
 #[test]
-fn the_checker_refuses_a_history_in_which_both_operators_win() {
+fn the_checker_rejects_a_history_in_which_two_rollouts_of_one_base_succeed() {
     let actions = vec![
         (0, Action::Call(HeadOp::Accept(0, None))),
         (1, Action::Call(HeadOp::Accept(0, None))),
@@ -198,7 +199,7 @@
 }
 
 #[tokio::test]
-async fn a_foreign_head_is_left_alone() {
+async fn a_malformed_head_is_not_overwritten() {
     let p = MemoryPlatform::default();
     p.put(HEAD, Bytes::from_static(b"not ours"), Expect::Absent).await.expect("written");
     assert!(matches!(roll_out(&p, 1, "x").await, Err(AcceptError::Foreign { .. })));
