--- a/crates/honeypulley_peer/src/client.rs
+++ b/crates/honeypulley_peer/src/client.rs
@@ -1,4 +1,4 @@
-//! The side that pulls.
+//! RPC client that fetches data from a peer.
 
 use crate::key::FleetKey;
 use crate::listing::{Entry, read_entries};
@@ -17,24 +17,24 @@
 use tokio::net::TcpStream;
 use tokio_util::compat::TokioAsyncReadCompatExt;
 
-/// Time for one pull, connecting included.
+/// Time-out of each step: connecting, logging in and each call.
 pub const PULL_TIME: Duration = Duration::from_secs(3);
 
-/// Why a pull failed.
+/// Error of a call to a peer.
 #[derive(Clone, Debug, thiserror::Error)]
 #[error("peer {peer}: {step}: {cause}")]
 pub struct PeerError {
-    /// Address asked.
+    /// Address of the peer.
     pub peer: SocketAddr,
-    /// What was being done.
+    /// Name of the step that failed.
     pub step: &'static str,
-    /// What went wrong.
+    /// Underlying error.
     pub cause: String,
 }
 
-/// A connection to one peer, logged in.
+/// An authenticated connection to a peer.
 ///
-/// It lives on one thread, inside a `LocalSet`.
+/// It is bound to one thread and must be used within a `LocalSet`.
 pub struct PeerClient {
     addr: SocketAddr,
     peer: peer::Client,
@@ -54,12 +54,12 @@
 }
 
 impl PeerClient {
-    /// Connects and logs in.
+    /// Connects to a peer and logs in.
     ///
     /// # Errors
-    /// Returns a [`PeerError`] if the peer is away or the keys differ.
+    /// Returns a [`PeerError`] if the peer is unreachable or the fleet keys differ.
     pub async fn connect(addr: SocketAddr, key: &FleetKey) -> Result<Self, PeerError> {
-        let stream = limit(addr, "connect", TcpStream::connect(addr)).await?;
+        let stream = with_timeout(addr, "connect", TcpStream::connect(addr)).await?;
         let _ = stream.set_nodelay(true);
         let (reader, writer) = stream.compat().split();
         let options = capnp::message::ReaderOptions::new();
@@ -69,12 +69,12 @@
         let task = tokio::task::spawn_local(async move {
             let _ = system.await;
         });
-        let nonce = limit(addr, "challenge", async {
+        let nonce = with_timeout(addr, "challenge", async {
             let answer = gate.challenge_request().send().promise.await?;
             Ok::<_, capnp::Error>(answer.get()?.get_nonce()?.to_vec())
         });
         let nonce = nonce.await?;
-        let peer = limit(addr, "login", async {
+        let peer = with_timeout(addr, "login", async {
             let mut request = gate.login_request();
             request.get().set_proof(&key.prove(&nonce));
             let answer = request.send().promise.await?;
@@ -84,26 +84,26 @@
         Ok(Self { addr, peer, task })
     }
 
-    /// Returns the head that the peer has in force.
+    /// Returns the head of the peer's active bundle.
     ///
     /// # Errors
-    /// Returns a [`PeerError`] if no readable answer comes in time.
+    /// Returns a [`PeerError`] on a time-out or a malformed answer.
     pub async fn head(&self) -> Result<Option<Head>, PeerError> {
         let call = async {
             let answer = self.peer.head_request().send().promise.await?;
             Ok::<_, capnp::Error>(answer.get()?.get_json()?.to_vec())
         };
-        let json = limit(self.addr, "head", call).await?;
+        let json = with_timeout(self.addr, "head", call).await?;
         if json.is_empty() {
             return Ok(None);
         }
         serde_json::from_slice(&json).map(Some).map_err(|e| self.error("head", &e))
     }
 
-    /// Returns the peer's manifest, by the changes from `have` where it can.
+    /// Returns the peer's manifest, transferred as changes from `have` if possible.
     ///
     /// # Errors
-    /// Returns a [`PeerError`] if no readable answer comes in time.
+    /// Returns a [`PeerError`] on a time-out or a malformed answer.
     pub async fn manifest(&self, have: Option<&Manifest>) -> Result<Manifest, PeerError> {
         let call = async {
             let mut request = self.peer.manifest_request();
@@ -124,14 +124,14 @@
             }
             Ok::<_, capnp::Error>(Some(Manifest { parts }))
         };
-        let found = limit(self.addr, "manifest", call).await?;
-        found.ok_or_else(|| self.error("manifest", &"malformed"))
+        let manifest = with_timeout(self.addr, "manifest", call).await?;
+        manifest.ok_or_else(|| self.error("manifest", &"malformed answer"))
     }
 
-    /// Returns those of the parts that the peer holds, checked by digest.
+    /// Returns the parts that the peer has, verified by digest.
     ///
     /// # Errors
-    /// Returns a [`PeerError`] if no readable answer comes in time.
+    /// Returns a [`PeerError`] on a time-out or a malformed answer.
     pub async fn parts(&self, wanted: &[Digest]) -> Result<HashMap<Digest, Bytes>, PeerError> {
         let mut found = HashMap::with_capacity(wanted.len());
         for chunk in wanted.chunks(MAX_PARTS as usize) {
@@ -145,17 +145,17 @@
                 let parts = answer.get()?.get_parts()?;
                 parts.iter().map(|p| p.map(Bytes::copy_from_slice)).collect::<Result<Vec<_>, _>>()
             };
-            let parts = limit(self.addr, "parts", call).await?;
-            let checked = chunk.iter().zip(parts).filter(|(d, p)| Digest::of(p) == **d);
-            found.extend(checked.map(|(d, p)| (*d, p)));
+            let parts = with_timeout(self.addr, "parts", call).await?;
+            let verified = chunk.iter().zip(parts).filter(|(d, p)| Digest::of(p) == **d);
+            found.extend(verified.map(|(d, p)| (*d, p)));
         }
         Ok(found)
     }
 
-    /// Returns the peer's permits.
+    /// Returns the permits that the peer has cached.
     ///
     /// # Errors
-    /// Returns a [`PeerError`] if no readable answer comes in time.
+    /// Returns a [`PeerError`] on a time-out or a malformed answer.
     pub async fn permits(&self) -> Result<HeldPermits, PeerError> {
         let call = async {
             let answer = self.peer.permits_request().send().promise.await?;
@@ -165,38 +165,40 @@
             let version = Revision::new(r.get_epoch(), r.get_version());
             Ok::<_, capnp::Error>(HeldPermits { version, age, json })
         };
-        limit(self.addr, "permits", call).await
+        with_timeout(self.addr, "permits", call).await
     }
 
     /// Returns the peer's status as JSON.
     ///
     /// # Errors
-    /// Returns a [`PeerError`] if no readable answer comes in time.
+    /// Returns a [`PeerError`] on a time-out or a malformed answer.
     pub async fn status(&self) -> Result<Bytes, PeerError> {
         let call = async {
             let answer = self.peer.status_request().send().promise.await?;
             Ok::<_, capnp::Error>(Bytes::copy_from_slice(answer.get()?.get_json()?))
         };
-        limit(self.addr, "status", call).await
+        with_timeout(self.addr, "status", call).await
     }
 
-    /// Returns the platform's list as the peer last saw it, as JSON.
+    /// Returns the platform's list as last received by the peer, as JSON.
     ///
     /// # Errors
-    /// Returns a [`PeerError`] if no readable answer comes in time.
+    /// Returns a [`PeerError`] on a time-out or a malformed answer.
     pub async fn roster(&self) -> Result<Bytes, PeerError> {
         let call = async {
             let answer = self.peer.roster_request().send().promise.await?;
             Ok::<_, capnp::Error>(Bytes::copy_from_slice(answer.get()?.get_json()?))
         };
-        limit(self.addr, "roster", call).await
+        with_timeout(self.addr, "roster", call).await
     }
 
-    /// Returns the routing table as the peer holds it, for which the peer waits as long as
-    /// it holds none of at least this number.
+    /// Returns the peer's routing table.
+    ///
+    /// The peer delays its answer by up to `wait` until its table has at least the version
+    /// `number`.
     ///
     /// # Errors
-    /// Returns a [`PeerError`] if no readable answer comes in time.
+    /// Returns a [`PeerError`] on a time-out or a malformed answer.
     pub async fn table(&self, number: u64, wait: Duration) -> Result<Held<Bytes>, PeerError> {
         let call = async {
             let mut request = self.peer.table_request();
@@ -208,13 +210,13 @@
             let version = Revision::new(r.get_epoch(), r.get_version());
             Ok::<_, capnp::Error>(Held { version, value })
         };
-        limit(self.addr, "table", call).await
+        with_timeout(self.addr, "table", call).await
     }
 
-    /// Returns every entry of the list of upstreams that the peer holds.
+    /// Returns the peer's list of upstreams.
     ///
     /// # Errors
-    /// Returns a [`PeerError`] if no readable answer comes in time.
+    /// Returns a [`PeerError`] on a time-out or a malformed answer.
     pub async fn upstreams(&self) -> Result<Held<Vec<Entry>>, PeerError> {
         let call = async {
             let answer = self.peer.upstreams_request().send().promise.await?;
@@ -223,7 +225,7 @@
             let version = Revision::new(r.get_epoch(), r.get_version());
             Ok::<_, capnp::Error>(Held { version, value })
         };
-        limit(self.addr, "upstreams", call).await
+        with_timeout(self.addr, "upstreams", call).await
     }
 
     fn error(&self, step: &'static str, cause: &dyn fmt::Display) -> PeerError {
@@ -231,8 +233,8 @@
     }
 }
 
-/// Runs one step, bounded by [`PULL_TIME`].
-async fn limit<T, E: fmt::Display>(
+/// Runs one step with the time-out [`PULL_TIME`].
+async fn with_timeout<T, E: fmt::Display>(
     peer: SocketAddr,
     step: &'static str,
     call: impl Future<Output = Result<T, E>>,
@@ -240,6 +242,6 @@
     match tokio::time::timeout(PULL_TIME, call).await {
         Ok(Ok(v)) => Ok(v),
         Ok(Err(e)) => Err(PeerError { peer, step, cause: e.to_string() }),
-        Err(_) => Err(PeerError { peer, step, cause: "no answer in time".to_owned() }),
+        Err(_) => Err(PeerError { peer, step, cause: "timed out".to_owned() }),
     }
 }
--- a/crates/honeypulley_peer/src/codec.rs
+++ b/crates/honeypulley_peer/src/codec.rs
@@ -1,4 +1,4 @@
-//! Datagrams as bytes.
+//! Encoding and authentication of datagrams.
 
 use crate::key::FleetKey;
 use crate::listing::{
@@ -15,110 +15,113 @@
 use honeypulley_policy::revision::Revision;
 use std::time::Duration;
 
-/// Largest datagram sent or taken, under the usual path MTU.
+/// Maximum size of a datagram in bytes, below the usual path MTU.
 pub const MAX_DATAGRAM: usize = 1_400;
-/// Items that fit one datagram.
+/// Maximum number of items in a datagram.
 pub const MAX_ITEMS: usize = 64;
-/// Most fragments in which changes of the list are sent.
+/// Maximum number of fragments for changes of the list of upstreams.
 ///
-/// 96 entries, more than a release of a service brings at once; beyond that a
-/// connection that carries the whole list is cheaper than the datagrams.
+/// This allows 96 entries, more than a release of a service changes at once. For more
+/// changes, fetching the full list over a connection is cheaper than datagrams.
 pub const MAX_TOLD_PARTS: usize = 16;
 
-/// What one datagram says.
+/// Payload of a datagram.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Body {
-    /// Asks for [`Body::Tell`].
+    /// Requests a [`Body::Tell`].
     Ask {
-        /// Echoed in the answer.
+        /// Number echoed in the answer.
         nonce: u64,
     },
-    /// Versions that a box has.
+    /// Reports the versions that a box has.
     Tell {
-        /// The asker's number.
+        /// Number of the request.
         nonce: u64,
-        /// Bundle in force, zero if there is none.
+        /// Active bundle version, zero if no bundle is active.
         bundle: Version,
-        /// Version of the permits held.
+        /// Revision of the cached permits.
         permits: Revision,
-        /// Age of their last confirmation, if there was one.
+        /// Time since the permits were last confirmed, if they ever were.
         age: Option<Duration>,
     },
-    /// A bundle came in force.
+    /// Announces that a bundle has become active.
     Rumour {
-        /// Its version.
+        /// Version of the bundle.
         bundle: Version,
     },
-    /// Evidence for a collector.
+    /// Reports request outcomes to a collector.
     Report {
-        /// Service judged.
+        /// Service that the outcomes belong to.
         service: NameId,
-        /// Outcomes by upstream.
+        /// Number of outcomes by upstream.
         items: Vec<ReportItem>,
     },
-    /// A collector's verdict.
+    /// Announces a collector's verdict.
     Verdict(Verdict),
-    /// The sender is new, or does not know the receiver; the answer is a [`Body::Book`].
+    /// Introduces the sender; the answer is a [`Body::Book`].
+    ///
+    /// Sent by a box that has just started or does not know the receiver.
     Hello {
-        /// The sender's data hall.
+        /// Data hall of the sender.
         hall: String,
-        /// Whether it asks for all boxes that the receiver knows; else for the receiver alone.
+        /// Whether to return all boxes that the receiver knows, or the receiver alone.
         wants_book: bool,
-        /// Whether it has just started and asks what others believe of upstreams.
+        /// Whether to return the health probabilities of upstreams, as needed after a start.
         wants_beliefs: bool,
     },
-    /// Boxes that the sender knows.
+    /// Lists the boxes that the sender knows.
     Book(Vec<BoxAddress>),
-    /// What the sender has, and whether it reads the platform itself.
+    /// Periodically reports what the sender has cached and whether it is a reader.
     Beacon(Beacon),
-    /// What the sender saw of upstreams.
+    /// Updates with the sender's evidence on upstreams.
     News {
-        /// Number of this news at its sender, since it may come by several ways.
+        /// Sequence number of the sender, as an update may arrive by several paths.
         seq: u32,
-        /// What was seen.
+        /// Items of the update.
         items: Vec<News>,
     },
-    /// A sealed datagram to be sent on to the receiver's data hall, as it is.
+    /// A sealed datagram to be forwarded unchanged within the receiver's data hall.
     Forward(Bytes),
-    /// Changes of the list of upstreams, or a part of them.
+    /// Changes of the list of upstreams, or a fragment of them.
     Changes(Told),
-    /// Asks for the changes after a version; the answer is [`Body::Changes`].
+    /// Requests the changes after a revision; the answer is [`Body::Changes`].
     Want {
-        /// Position up to which the asker's list is complete.
+        /// Revision up to which the list of the requesting box is complete.
         after: Revision,
     },
-    /// What the sender knows of requests under which upstreams ended.
+    /// Updates about requests during which upstreams crashed.
     Requests {
-        /// Number of this news at its sender, of the same row as those of [`Body::News`].
+        /// Sequence number of the sender, shared with [`Body::News`].
         seq: u32,
-        /// What is known.
+        /// Items of the update.
         items: Vec<RequestNews>,
     },
 }
 
-/// Changes of the list of upstreams, or one part of them.
+/// A fragment of changes of the list of upstreams.
 ///
-/// They are complete only with every part: a part that is lost must not be taken for
-/// one that was empty.
+/// Changes are applied only once all fragments have been received, as a lost fragment must
+/// not be mistaken for an empty one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Told {
-    /// Position after which they begin.
+    /// Revision after which the changes begin.
     pub since: Revision,
-    /// Position up to which all parts together are complete.
+    /// Revision up to which all fragments together are complete.
     pub upto: Revision,
-    /// Which part this is, from zero.
+    /// Index of this fragment, starting at zero.
     pub part: u16,
-    /// How many parts there are.
+    /// Number of fragments.
     pub parts: u16,
-    /// Time since the sender's list was last known to be complete.
+    /// Time since the sender's list was last known to be up to date.
     pub age: Duration,
-    /// The changes of this part.
+    /// Changed entries in this fragment.
     pub entries: Vec<Entry>,
 }
 
 impl Told {
-    /// Cuts changes into parts that fit a datagram each; `None` if they are too many
-    /// to be sent so.
+    /// Splits changes into fragments of one datagram each.
+    ///
+    /// Returns `None` if there are more than [`MAX_TOLD_PARTS`] fragments.
     #[must_use]
     pub fn cut(
         since: Revision,
@@ -126,51 +129,51 @@
         age: Duration,
         entries: &[Entry],
     ) -> Option<Vec<Self>> {
-        let parts = entries.len().div_ceil(MAX_ENTRIES).max(1);
-        if parts > MAX_TOLD_PARTS {
+        let count = entries.len().div_ceil(MAX_ENTRIES).max(1);
+        if count > MAX_TOLD_PARTS {
             return None;
         }
-        let part = |i: usize| {
+        let fragment = |i: usize| {
             let entries = entries.iter().skip(i * MAX_ENTRIES).take(MAX_ENTRIES).cloned();
             let entries = entries.collect();
-            Self { since, upto, part: i as u16, parts: parts as u16, age, entries }
+            Self { since, upto, part: i as u16, parts: count as u16, age, entries }
         };
-        Some((0..parts).map(part).collect())
+        Some((0..count).map(fragment).collect())
     }
 }
 
-/// What a box has of the platform's objects.
+/// Periodic report of a box on its view of the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Beacon {
-    /// Version of the routing table in force, zero if there is none.
+    /// Version of the active routing table, zero if there is none.
     pub table: u64,
-    /// Position up to which its list of upstreams is complete.
+    /// Revision up to which its list of upstreams is complete.
     pub list: Revision,
-    /// Newest epoch of the platform that it knows of.
+    /// Newest known epoch of the platform.
     pub epoch: u64,
-    /// Whether it noticed a restore of the platform in the last seconds.
+    /// Whether it detected a restore of the platform within the last seconds.
     pub restored: bool,
-    /// Whether it reads the platform itself.
+    /// Whether it is a reader, which watches the platform itself.
     pub reader: bool,
     /// Time since the platform last answered it.
     pub read_age: Duration,
-    /// Whether its calls fail; one that has just begun to read has made none.
+    /// Whether its calls fail; false for a new reader that has not made any.
     pub unable: bool,
-    /// Time since its list was last known to be complete.
+    /// Time since its list was last known to be up to date.
     pub list_age: Duration,
 }
 
-/// A datagram with its sender.
+/// A message between boxes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Datagram {
-    /// Box that sent it.
+    /// Id of the sending box.
     pub sender: NameId,
-    /// What it says.
+    /// Payload of the datagram.
     pub body: Body,
 }
 
 impl Datagram {
-    /// Returns the bytes with their tag.
+    /// Encodes the datagram and appends its authentication tag.
     #[must_use]
     pub fn seal(&self, key: &FleetKey) -> Vec<u8> {
         let mut message = capnp::message::Builder::new_default();
@@ -179,13 +182,13 @@
         self.body.write(root);
         let mut bytes = Vec::with_capacity(160);
         capnp::serialize_packed::write_message(&mut bytes, &message)
-            .expect("writing to memory can't fail");
+            .expect("writing to a `Vec` does not fail");
         let tag = key.tag(&bytes);
         bytes.extend_from_slice(&tag);
         bytes
     }
 
-    /// Reads a datagram; `None` if it is malformed or its tag does not fit.
+    /// Decodes a datagram; `None` if it is malformed or fails authentication.
     #[must_use]
     pub fn open(bytes: &[u8], key: &FleetKey) -> Option<Self> {
         if bytes.len() > MAX_DATAGRAM {
@@ -230,17 +233,17 @@
             Self::Book(boxes) => {
                 write_boxes(root.init_book().init_boxes(boxes.len() as u32), boxes);
             }
-            Self::Beacon(x) => {
+            Self::Beacon(beacon) => {
                 let mut b = root.init_beacon();
-                b.set_table_version(x.table);
-                b.set_list_version(x.list.number);
-                b.set_list_epoch(x.list.epoch);
-                b.set_epoch(x.epoch);
-                b.set_restored(x.restored);
-                b.set_reader(x.reader);
-                b.set_read_age_ms(millis(x.read_age));
-                b.set_unable(x.unable);
-                b.set_list_age_ms(millis(x.list_age));
+                b.set_table_version(beacon.table);
+                b.set_list_version(beacon.list.number);
+                b.set_list_epoch(beacon.list.epoch);
+                b.set_epoch(beacon.epoch);
+                b.set_restored(beacon.restored);
+                b.set_reader(beacon.reader);
+                b.set_read_age_ms(millis(beacon.read_age));
+                b.set_unable(beacon.unable);
+                b.set_list_age_ms(millis(beacon.list_age));
             }
             Self::News { seq, items } => {
                 let mut b = root.init_news();
@@ -339,7 +342,7 @@
     }
 }
 
-/// Cuts a report into datagram bodies that fit.
+/// Splits a report into datagram bodies.
 pub fn report_bodies(report: &Report) -> impl Iterator<Item = Body> + '_ {
     let body =
         |items: &[ReportItem]| Body::Report { service: report.service, items: items.to_vec() };
@@ -379,7 +382,7 @@
     }
 }
 
-/// Rounds up, so that an age is never reported too young.
+/// Converts to milliseconds, rounded up so that an age is never understated.
 pub(crate) fn millis(d: Duration) -> u32 {
     u32::try_from(d.as_micros().div_ceil(1_000)).unwrap_or(u32::MAX)
 }
--- a/crates/honeypulley_peer/src/lib.rs
+++ b/crates/honeypulley_peer/src/lib.rs
@@ -1,8 +1,8 @@
-//! The protocol between boxes: datagrams and capnp-rpc.
+//! Protocol between boxes: authenticated datagrams and Cap'n Proto RPC.
 //!
-//! Small news (evidence, verdicts, versions) goes in authenticated datagrams;
-//! what must arrive whole (heads, manifests, parts, permits, status) is pulled
-//! over capnp-rpc. Both use the peers' port and the fleet's shared key.
+//! Small messages (updates, verdicts, versions) are sent as authenticated datagrams.
+//! Data that needs reliable delivery (heads, manifests, parts, permits, status) is fetched
+//! by RPC over TCP. Both use the peer port and the shared fleet key.
 
 pub mod client;
 pub mod codec;
@@ -21,7 +21,7 @@
 )]
 pub mod peer_capnp;
 
-/// The names most users of this crate need.
+/// Re-exports of the most commonly used types.
 pub mod prelude {
     pub use crate::{
         client::PeerClient,
--- a/crates/honeypulley_peer/src/listing.rs
+++ b/crates/honeypulley_peer/src/listing.rs
@@ -1,4 +1,4 @@
-//! Entries of the list of upstreams and news of boxes, as bytes.
+//! Encoding of the list of upstreams, box addresses and updates.
 
 use crate::peer_capnp::datagram as wire;
 use honeypulley_policy::balance::{Listed, News};
@@ -10,42 +10,42 @@
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 use std::time::Duration;
 
-/// Entries that fit one datagram; each takes up to 150 bytes.
+/// Maximum number of entries in a datagram; each takes up to 150 bytes.
 pub const MAX_ENTRIES: usize = 6;
-/// Addresses that fit one datagram; each takes up to 40 bytes.
+/// Maximum number of addresses in a datagram; each takes up to 40 bytes.
 pub const MAX_BOXES: usize = 30;
 
-/// One entry of the list of upstreams.
+/// An entry of the list of upstreams.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
     /// Name of the upstream.
     pub name: String,
-    /// Position at which it was written or went.
+    /// Revision of its last write or deletion.
     pub version: Revision,
-    /// What the list says.
+    /// Whether the upstream is listed, with its data.
     pub state: EntryState,
 }
 
-/// What the list says of one upstream.
+/// State of an upstream in the list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EntryState {
-    /// It is there.
+    /// The upstream is listed.
     Present(Listed),
-    /// It is gone; if it is not back after the hold, it is taken to have left.
+    /// The entry was deleted; the upstream counts as gone after the hold.
     Gone {
-        /// Time to wait for its return.
+        /// Time to wait for the entry to return.
         hold: Duration,
     },
 }
 
-/// Where another box is.
+/// Address of a box.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BoxAddress {
-    /// The box on the wire.
+    /// Id of the box in the protocol.
     pub id: NameId,
-    /// Address of its peers' port.
+    /// Address of its peer port.
     pub addr: SocketAddr,
-    /// Its data hall, empty if that is not known.
+    /// Its data hall, empty if unknown.
     pub hall: String,
 }
 
@@ -110,7 +110,7 @@
     for (i, b) in boxes.iter().enumerate() {
         let mut row = list.reborrow().get(i as u32);
         row.set_id(b.id.0);
-        // The platform speaks IPv4 alone.
+        // The platform supports IPv4 only.
         if let SocketAddr::V4(a) = b.addr {
             row.set_ip((*a.ip()).into());
             row.set_port(a.port());
@@ -132,11 +132,11 @@
 
 pub(crate) fn write_news(
     mut list: capnp::struct_list::Builder<'_, wire::news_item::Owned>,
-    news: &[News],
+    updates: &[News],
 ) {
-    for (i, n) in news.iter().enumerate() {
+    for (i, update) in updates.iter().enumerate() {
         let mut row = list.reborrow().get(i as u32);
-        let (subject, kind, count) = match *n {
+        let (subject, kind, count) = match *update {
             News::Seen { upstream, what } => (upstream, observation_kind(what), 0),
             News::Open { upstream, count } => (upstream, wire::NewsKind::Open, count),
             News::Ended { upstream, count, served, far, ago } => {
@@ -156,7 +156,7 @@
                 (service, wire::NewsKind::Denied, seen)
             }
             News::Belief { upstream, phases } => {
-                (upstream, wire::NewsKind::Belief, u16::from_be_bytes(phases.map(parts)))
+                (upstream, wire::NewsKind::Belief, u16::from_be_bytes(phases.map(quantize)))
             }
             News::Limit { upstream, rate } => {
                 row.set_rate(rate.unwrap_or(0.0));
@@ -182,16 +182,16 @@
 ) -> Result<Vec<News>, capnp::Error> {
     let read = |r: wire::news_item::Reader<'_>| {
         let id = NameId(r.get_subject());
-        let seen = |what| News::Seen { upstream: id, what };
+        let observed = |what| News::Seen { upstream: id, what };
         Ok(match r.get_kind()? {
-            wire::NewsKind::Success => seen(Observation::Success),
-            wire::NewsKind::Failure => seen(Observation::Failure),
-            wire::NewsKind::FailedWork => seen(Observation::FailedWork),
-            wire::NewsKind::Refused => seen(Observation::Refused),
-            wire::NewsKind::Unreachable => seen(Observation::Unreachable),
-            wire::NewsKind::Overdue => seen(Observation::Overdue),
-            wire::NewsKind::Shed => seen(Observation::Shed),
-            wire::NewsKind::Hung => seen(Observation::Hung),
+            wire::NewsKind::Success => observed(Observation::Success),
+            wire::NewsKind::Failure => observed(Observation::Failure),
+            wire::NewsKind::FailedWork => observed(Observation::FailedWork),
+            wire::NewsKind::Refused => observed(Observation::Refused),
+            wire::NewsKind::Unreachable => observed(Observation::Unreachable),
+            wire::NewsKind::Overdue => observed(Observation::Overdue),
+            wire::NewsKind::Shed => observed(Observation::Shed),
+            wire::NewsKind::Hung => observed(Observation::Hung),
             wire::NewsKind::Open => News::Open { upstream: id, count: r.get_count() },
             wire::NewsKind::Ended => News::Ended {
                 upstream: id,
@@ -209,7 +209,7 @@
                 News::Denied { service: id, seen: r.get_count(), spent: r.get_far() }
             }
             wire::NewsKind::Belief => {
-                News::Belief { upstream: id, phases: r.get_count().to_be_bytes().map(part) }
+                News::Belief { upstream: id, phases: r.get_count().to_be_bytes().map(dequantize) }
             }
             wire::NewsKind::Limit => {
                 let rate = Some(r.get_rate()).filter(|r| r.is_finite() && *r > 0.0);
@@ -232,13 +232,13 @@
     list.iter().map(read).collect()
 }
 
-/// Returns a chance in 255ths.
-fn parts(chance: f64) -> u8 {
-    (chance.clamp(0.0, 1.0) * 255.0).round() as u8
+/// Encodes a probability in steps of 1/255.
+fn quantize(probability: f64) -> u8 {
+    (probability.clamp(0.0, 1.0) * 255.0).round() as u8
 }
 
-fn part(parts: u8) -> f64 {
-    f64::from(parts) / 255.0
+fn dequantize(steps: u8) -> f64 {
+    f64::from(steps) / 255.0
 }
 
 const fn observation_kind(o: Observation) -> wire::NewsKind {
--- a/crates/honeypulley_peer/src/requests.rs
+++ b/crates/honeypulley_peer/src/requests.rs
@@ -1,4 +1,4 @@
-//! News of requests under which upstreams ended, as bytes.
+//! Encoding of updates about requests during which upstreams crashed.
 
 use crate::codec::millis;
 use crate::peer_capnp::datagram as wire;
@@ -6,16 +6,16 @@
 use honeypulley_policy::quarantine::{Fingerprint, RequestNews, Scope};
 use std::time::Duration;
 
-/// Items that fit one datagram that is sent on; each takes up to 34 bytes.
+/// Maximum number of items in a forwarded datagram; each takes up to 34 bytes.
 pub const MAX_REQUESTS: usize = 30;
 
 pub(crate) fn write_requests(
     mut list: capnp::struct_list::Builder<'_, wire::request_item::Owned>,
-    news: &[RequestNews],
+    updates: &[RequestNews],
 ) {
-    for (i, n) in news.iter().enumerate() {
+    for (i, update) in updates.iter().enumerate() {
         let mut row = list.reborrow().get(i as u32);
-        match *n {
+        match *update {
             RequestNews::Ended { request, scope, upstream, began, ended } => {
                 row.set_kind(wire::RequestKind::Ended);
                 row.set_request(request.0);
--- a/crates/honeypulley_peer/src/server.rs
+++ b/crates/honeypulley_peer/src/server.rs
@@ -1,4 +1,4 @@
-//! The side that answers pulls.
+//! RPC server that answers the calls of peers and operators.
 
 use crate::key::FleetKey;
 use crate::listing::{Entry, write_entries};
@@ -18,55 +18,55 @@
 use tokio::task::spawn_local;
 use tokio_util::compat::TokioAsyncReadCompatExt;
 
-/// Parts given out in one call.
+/// Maximum number of parts returned by one call.
 pub const MAX_PARTS: u32 = 64;
 
-/// Longest time for which a box that asks for a newer table is kept waiting.
+/// Maximum time for which a request for a newer routing table is delayed.
 ///
-/// Far above what the asker itself waits for; it bounds what a peer can hold open.
+/// Well above the time that clients wait; it bounds how long a peer can keep a call open.
 pub const MAX_TABLE_WAIT: Duration = Duration::from_secs(2);
 
-/// Permits as a box holds them.
+/// Permits as cached by a box.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct HeldPermits {
-    /// Position they are complete up to.
+    /// Revision up to which the permits are complete.
     pub version: Revision,
-    /// Age of the platform's last confirmation, if there was one.
+    /// Time since the platform last confirmed the permits, if it ever did.
     pub age: Option<Duration>,
-    /// All records as JSON.
+    /// All permit records as JSON.
     pub json: Bytes,
 }
 
-/// Something of the platform's, as a box holds it.
+/// A value of the platform as cached by a box.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Held<T> {
-    /// Position it is complete up to, zero if it holds nothing.
+    /// Revision up to which the value is complete, zero if nothing is cached.
     pub version: Revision,
-    /// What is held.
+    /// Cached value.
     pub value: T,
 }
 
-/// What a box shows to its peers and operators.
+/// Data that a box serves to peers and operators.
 ///
-/// What a box does not have, it shows as empty, which is the default.
+/// The default implementations return empty values, which represent missing data.
 pub trait PeerView: Debug {
-    /// Returns the head in force as JSON, empty if there is none.
+    /// Returns the head of the active bundle as JSON, empty if no bundle is active.
     fn head(&self) -> Bytes {
         Bytes::new()
     }
-    /// Returns the manifest in force.
+    /// Returns the manifest of the active bundle.
     fn manifest(&self) -> Option<Manifest> {
         None
     }
-    /// Returns an earlier manifest that is still remembered.
+    /// Returns a cached earlier manifest by its digest.
     fn remembered(&self, _: &Digest) -> Option<Manifest> {
         None
     }
-    /// Returns a part.
+    /// Returns the text of a part by its digest.
     fn part(&self, _: &Digest) -> Option<Bytes> {
         None
     }
-    /// Returns the permits held.
+    /// Returns the cached permits.
     fn permits(&self) -> HeldPermits {
         HeldPermits::default()
     }
@@ -74,28 +74,28 @@
     fn status(&self) -> Bytes {
         Bytes::new()
     }
-    /// Returns the platform's list as last seen, as JSON, empty if it never was.
+    /// Returns the platform's list as last received, as JSON; empty if it never was.
     fn roster(&self) -> Bytes {
         Bytes::new()
     }
-    /// Ends once this box holds a routing table of at least this number.
+    /// Waits until the routing table has at least this version.
     fn table_reached(&self, _: u64) -> LocalBoxFuture<'_, ()> {
         Box::pin(std::future::ready(()))
     }
-    /// Returns the routing table as the platform holds it.
+    /// Returns the routing table in the platform's encoding.
     fn table(&self) -> Held<Bytes> {
         Held::default()
     }
-    /// Returns every entry of the list of upstreams.
+    /// Returns all entries of the list of upstreams.
     fn upstreams(&self) -> Held<Vec<Entry>> {
         Held::default()
     }
 }
 
-/// Serves one connection to its end.
+/// Serves a connection until it closes.
 ///
 /// # Errors
-/// Returns what ended the connection, if it did not just close.
+/// Returns an error unless the connection is closed normally.
 pub async fn serve(stream: TcpStream, key: FleetKey, view: Rc<dyn PeerView>) -> Result<(), Error> {
     stream.set_nodelay(true)?;
     let (reader, writer) = stream.compat().split();
@@ -106,10 +106,10 @@
     RpcSystem::new(Box::new(network), Some(client.client)).await
 }
 
-/// Serves every connection that comes, each to its end.
+/// Accepts connections and serves each on its own task.
 ///
 /// # Errors
-/// Returns the system's error if no more connections can be taken.
+/// Returns an error if accepting a connection fails.
 pub async fn accept_on(
     listener: &TcpListener,
     key: &FleetKey,
@@ -126,6 +126,7 @@
     }
 }
 
+/// Serves unauthenticated connections: a login returns the authenticated interface.
 struct GateServer {
     key: FleetKey,
     view: Rc<dyn PeerView>,
@@ -149,7 +150,7 @@
         params: gate::LoginParams,
         mut results: gate::LoginResults,
     ) -> Result<(), Error> {
-        // A challenge serves one login, right or wrong.
+        // A nonce is consumed by one login attempt, whether it succeeds or fails.
         let nonce = self.nonce.borrow_mut().take();
         let proof = params.get()?.get_proof()?;
         if !nonce.is_some_and(|n| self.key.check(&n, proof)) {
@@ -161,6 +162,7 @@
     }
 }
 
+/// Serves authenticated peers from a [`PeerView`].
 struct PeerServer {
     view: Rc<dyn PeerView>,
 }
@@ -180,11 +182,11 @@
         params: peer::ManifestParams,
         mut results: peer::ManifestResults,
     ) -> Result<(), Error> {
-        let Some(now) = self.view.manifest() else { return Ok(()) };
+        let Some(current) = self.view.manifest() else { return Ok(()) };
         let have = Digest::from_slice(params.get()?.get_have()?);
         let old = have.and_then(|d| self.view.remembered(&d));
-        match old.and_then(|o| now.changes_from(&o)) {
-            None => results.get().set_full(&now.to_bytes()),
+        match old.and_then(|o| current.changes_from(&o)) {
+            None => results.get().set_full(&current.to_bytes()),
             Some(changes) => {
                 let mut list = results.get().init_changes(changes.len() as u32);
                 for (i, (bucket, digest)) in changes.iter().enumerate() {
@@ -217,13 +219,13 @@
         _: peer::PermitsParams,
         mut results: peer::PermitsResults,
     ) -> Result<(), Error> {
-        let held = self.view.permits();
+        let cached = self.view.permits();
         let mut r = results.get();
-        r.set_version(held.version.number);
-        r.set_epoch(held.version.epoch);
-        r.set_confirmed(held.age.is_some());
-        r.set_age_ms(held.age.map_or(0, |a| a.as_millis() as u32 + 1));
-        r.set_json(&held.json);
+        r.set_version(cached.version.number);
+        r.set_epoch(cached.version.epoch);
+        r.set_confirmed(cached.age.is_some());
+        r.set_age_ms(cached.age.map_or(0, |a| a.as_millis() as u32 + 1));
+        r.set_json(&cached.json);
         Ok(())
     }
 
@@ -250,15 +252,15 @@
         params: peer::TableParams,
         mut results: peer::TableResults,
     ) -> Result<(), Error> {
-        let wanted = params.get()?;
-        let wait = Duration::from_millis(wanted.get_wait_ms().into()).min(MAX_TABLE_WAIT);
-        // After that time the asker gets what there is, and sees that it is older.
-        let _ = tokio::time::timeout(wait, self.view.table_reached(wanted.get_number())).await;
-        let held = self.view.table();
+        let request = params.get()?;
+        let wait = Duration::from_millis(request.get_wait_ms().into()).min(MAX_TABLE_WAIT);
+        // After the time-out the current table is returned; its version shows that it is older.
+        let _ = tokio::time::timeout(wait, self.view.table_reached(request.get_number())).await;
+        let cached = self.view.table();
         let mut r = results.get();
-        r.set_version(held.version.number);
-        r.set_epoch(held.version.epoch);
-        r.set_value(&held.value);
+        r.set_version(cached.version.number);
+        r.set_epoch(cached.version.epoch);
+        r.set_value(&cached.value);
         Ok(())
     }
 
@@ -267,11 +269,11 @@
         _: peer::UpstreamsParams,
         mut results: peer::UpstreamsResults,
     ) -> Result<(), Error> {
-        let held = self.view.upstreams();
+        let cached = self.view.upstreams();
         let mut r = results.get();
-        r.set_version(held.version.number);
-        r.set_epoch(held.version.epoch);
-        write_entries(r.init_entries(held.value.len() as u32), &held.value);
+        r.set_version(cached.version.number);
+        r.set_epoch(cached.version.epoch);
+        write_entries(r.init_entries(cached.value.len() as u32), &cached.value);
         Ok(())
     }
 }
--- a/crates/honeypulley_peer/src/socket.rs
+++ b/crates/honeypulley_peer/src/socket.rs
@@ -1,4 +1,4 @@
-//! Receiving datagrams of the fleet.
+//! Reception of datagrams.
 
 use crate::codec::{Datagram, MAX_DATAGRAM};
 use crate::key::FleetKey;
@@ -6,10 +6,10 @@
 use std::net::SocketAddr;
 use tokio::net::UdpSocket;
 
-/// Receives one datagram; `None` stands for one whose tag does not fit.
+/// Receives a datagram, or `None` if it is malformed or fails authentication.
 ///
 /// # Errors
-/// Returns the system's error, but for refusals of earlier datagrams.
+/// Returns socket errors, except for a refusal of an earlier datagram.
 pub async fn receive(
     socket: &UdpSocket,
     key: &FleetKey,
@@ -18,7 +18,7 @@
     loop {
         match socket.recv_from(&mut buffer).await {
             Ok((n, from)) => return Ok((Datagram::open(&buffer[..n], key), from)),
-            // An ICMP refusal of an earlier datagram shows up here.
+            // The system reports an ICMP refusal of an earlier datagram on the next receive.
             Err(e) if e.kind() == ErrorKind::ConnectionRefused => {}
             Err(e) => return Err(e),
         }
--- a/crates/honeypulley_peer/tests/wire.rs
+++ b/crates/honeypulley_peer/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Datagrams and logins, right, forged and malformed.
+//! Encoding and authentication of valid, forged and malformed datagrams and logins.
 
 use honeypulley_bundle::head::Version;
 use honeypulley_peer::codec::{
@@ -36,7 +36,7 @@
     )
 }
 
-fn told() -> impl Strategy<Value = Told> {
+fn list_changes() -> impl Strategy<Value = Told> {
     let entry = ("[a-z0-9-]{1,24}", revision(), any::<u32>()).prop_map(|(name, version, hold)| {
         let state = EntryState::Gone { hold: Duration::from_millis(hold.into()) };
         Entry { name, version, state }
@@ -58,9 +58,9 @@
     });
     let judgement =
         prop_oneof![Just(Judgement::Suspect), Just(Judgement::Probation), Just(Judgement::Clear)];
-    // Chances are told in 255ths.
-    let chance = || any::<u8>().prop_map(|n| f64::from(n) / 255.0);
-    let seen = prop_oneof![
+    // Probabilities are encoded in steps of 1/255.
+    let probability = || any::<u8>().prop_map(|n| f64::from(n) / 255.0);
+    let observation = prop_oneof![
         Just(Observation::Success),
         Just(Observation::Failure),
         Just(Observation::FailedWork),
@@ -70,8 +70,8 @@
         Just(Observation::Shed),
         Just(Observation::Hung),
     ];
-    let news =
-        (any::<u64>(), seen, chance(), chance(), 0u8..12).prop_map(|(id, what, a, b, kind)| {
+    let update = (any::<u64>(), observation, probability(), probability(), 0u8..12).prop_map(
+        |(id, what, a, b, kind)| {
             let upstream = NameId(id);
             match kind {
                 0 => News::Seen { upstream, what },
@@ -105,8 +105,9 @@
                 5 => News::Denied { service: upstream, seen: id as u16, spent: id as u8 },
                 _ => News::Retry { service: upstream, seen: id as u16, spent: id as u8 },
             }
-        });
-    let requests = (any::<[u64; 2]>(), any::<[u32; 2]>(), 0u8..3, any::<u8>()).prop_map(
+        },
+    );
+    let request_update = (any::<[u64; 2]>(), any::<[u32; 2]>(), 0u8..3, any::<u8>()).prop_map(
         |([request, upstream], [began, span], kind, trials)| {
             let scope = if trials % 2 == 0 { Scope::Caller } else { Scope::Content };
             let (request, span) = (Fingerprint(request), Duration::from_millis(span.into()));
@@ -125,9 +126,9 @@
         },
     );
     prop_oneof![
-        (any::<u32>(), prop::collection::vec(requests, 0..MAX_REQUESTS))
+        (any::<u32>(), prop::collection::vec(request_update, 0..MAX_REQUESTS))
             .prop_map(|(seq, items)| Body::Requests { seq, items }),
-        (any::<u32>(), prop::collection::vec(news, 0..MAX_ITEMS))
+        (any::<u32>(), prop::collection::vec(update, 0..MAX_ITEMS))
             .prop_map(|(seq, items)| Body::News { seq, items }),
         any::<u64>().prop_map(|nonce| Body::Ask { nonce }),
         (any::<u64>(), any::<u64>(), revision(), prop::option::of(0u64..4_000_000)).prop_map(
@@ -139,7 +140,7 @@
             }
         ),
         beacon().prop_map(Body::Beacon),
-        told().prop_map(Body::Changes),
+        list_changes().prop_map(Body::Changes),
         revision().prop_map(|after| Body::Want { after }),
         any::<u64>().prop_map(|b| Body::Rumour { bundle: Version(b) }),
         (any::<u64>(), prop::collection::vec(item, 0..MAX_ITEMS))
@@ -164,7 +165,7 @@
     })]
 
     #[test]
-    fn what_is_sealed_is_opened_alike(sender in any::<u64>(), body in body()) {
+    fn sealed_datagrams_open_unchanged(sender in any::<u64>(), body in body()) {
         let key = FleetKey::derive("a fleet key of tests");
         let d = Datagram { sender: NameId(sender), body };
         let bytes = d.seal(&key);
@@ -173,7 +174,7 @@
     }
 
     #[test]
-    fn a_changed_byte_or_another_key_opens_nothing(body in body(), at in any::<prop::sample::Index>(), flip in 1u8..) {
+    fn a_changed_byte_or_another_key_fails_authentication(body in body(), at in any::<prop::sample::Index>(), flip in 1u8..) {
         let key = FleetKey::derive("a fleet key of tests");
         let mut bytes = Datagram { sender: NameId(1), body }.seal(&key);
         prop_assert_eq!(Datagram::open(&bytes, &FleetKey::derive("another key")), None);
@@ -182,7 +183,7 @@
         prop_assert_eq!(Datagram::open(&bytes, &key), None);
     }
 
-    /// Arbitrary bytes under a right tag: the decoder alone must hold.
+    /// Bytes with a valid tag reach the decoder, which must reject them without a panic.
     #[test]
     fn arbitrary_bytes_never_panic(mut bytes in prop::collection::vec(any::<u8>(), 0..600)) {
         let key = FleetKey::derive("a fleet key of tests");
@@ -194,7 +195,7 @@
 }
 
 #[test]
-fn a_long_report_is_cut_into_datagrams_that_fit() {
+fn long_reports_are_split_into_datagrams() {
     let items: Vec<ReportItem> =
         (0..200).map(|i| ReportItem { upstream: NameId(u64::MAX - i), good: 9, bad: 9 }).collect();
     let report = Report { service: NameId(1), reporter: NameId(2), items };
@@ -207,17 +208,17 @@
 }
 
 #[test]
-fn a_login_owes_the_proof_of_its_own_challenge() {
+fn a_login_proof_is_valid_for_its_nonce_and_key_only() {
     let (key, other) = (FleetKey::derive("one"), FleetKey::derive("two"));
     assert!(key.check(b"nonce", &key.prove(b"nonce")));
     assert!(!key.check(b"nonce", &key.prove(b"earlier")));
     assert!(!key.check(b"nonce", &other.prove(b"nonce")));
     assert!(!key.check(b"nonce", b"short"));
-    assert!(!format!("{key:?}").contains("one"), "keys stay out of logs");
+    assert!(!format!("{key:?}").contains("one"), "`Debug` does not reveal the key");
 }
 
 #[test]
-fn the_longest_news_of_requests_fit_a_datagram_that_is_sent_on() {
+fn the_largest_request_update_fits_a_forwarded_datagram() {
     let item = RequestNews::Ended {
         request: Fingerprint(u64::MAX - 1),
         scope: Scope::Content,
