--- a/crates/honeypulley_daemon/src/admin.rs
+++ b/crates/honeypulley_daemon/src/admin.rs
@@ -4,7 +4,7 @@
 use honeypulley_policy::quarantine::{Fingerprint, Hold, Scope};
 use honeypulley_policy::time::Time;
 use honeypulley_proxy::suspects::Suspects;
-use honeypulley_supervisor::tree::{Duty, Stop, block_on};
+use honeypulley_supervisor::tree::{Duty, Shutdown, block_on};
 use salvo::async_trait;
 use salvo::conn::tcp::TcpAcceptor;
 use salvo::http::StatusCode;
@@ -45,7 +45,7 @@
         "admin"
     }
 
-    fn run(&self, stop: &Stop) -> Result<()> {
+    fn run(&self, shutdown: &Shutdown) -> Result<()> {
         block_on(async {
             let listener = tokio::net::TcpListener::from_std(self.listener.try_clone()?)?;
             let acceptor = TcpAcceptor::try_from(listener).wrap_err("admin: listen")?;
@@ -55,7 +55,7 @@
             let server = Server::new(acceptor).serve(Router::new().push(lift).push(pages));
             tokio::select! {
                 () = server => {}
-                () = stop.halt.cancelled() => {}
+                () = shutdown.stop.cancelled() => {}
             }
             Ok(())
         })
--- a/crates/honeypulley_daemon/src/collect.rs
+++ b/crates/honeypulley_daemon/src/collect.rs
@@ -9,7 +9,7 @@
 use honeypulley_policy::placement;
 use honeypulley_policy::revision::Revision;
 use honeypulley_policy::spec::MemberState;
-use honeypulley_supervisor::tree::{Duty, Stop, block_on};
+use honeypulley_supervisor::tree::{Duty, Shutdown, block_on};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -59,11 +59,11 @@
         "collect"
     }
 
-    fn run(&self, stop: &Stop) -> Result<()> {
+    fn run(&self, shutdown: &Shutdown) -> Result<()> {
         block_on(async {
             tokio::select! {
                 () = self.collect() => {}
-                () = stop.halt.cancelled() => {}
+                () = shutdown.stop.cancelled() => {}
             }
             Ok(())
         })
@@ -78,7 +78,7 @@
         let mut known = Known::default();
         loop {
             tokio::select! {
-                report = self.ctx.reports_in.next() => {
+                report = self.ctx.reports_in.recv() => {
                     if let Some(d) = judged.get_mut(&report.service) {
                         let verdicts = d.collector.report(&report, self.ctx.now());
                         verdicts.iter().for_each(|v| self.publish(d, v));
--- a/crates/honeypulley_daemon/src/context.rs
+++ b/crates/honeypulley_daemon/src/context.rs
@@ -17,7 +17,7 @@
 use honeypulley_policy::time::Time;
 use honeypulley_proxy::shared::{Members, Shared};
 use honeypulley_proxy::suspects::Suspects;
-use honeypulley_supervisor::ring::{Full, Ring};
+use honeypulley_supervisor::ring::{OverflowPolicy, Ring};
 use parking_lot::{Mutex, MutexGuard};
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -95,10 +95,10 @@
         Self {
             id: NameId::of(&settings.name),
             shared,
-            verdicts_out: Ring::new(1_024, Full::DropOldest),
-            reports_in: Ring::new(16_384, Full::DropNewest),
-            requests: Ring::new(1_024, Full::DropOldest),
-            rumours: Ring::new(4, Full::DropOldest),
+            verdicts_out: Ring::new(1_024, OverflowPolicy::DropOldest),
+            reports_in: Ring::new(16_384, OverflowPolicy::DropNewest),
+            requests: Ring::new(1_024, OverflowPolicy::DropOldest),
+            rumours: Ring::new(4, OverflowPolicy::DropOldest),
             sent: AtomicU64::new(0),
             keeper: Mutex::new(keeper),
             roster: Mutex::new(None),
--- a/crates/honeypulley_daemon/src/peer.rs
+++ b/crates/honeypulley_daemon/src/peer.rs
@@ -16,7 +16,7 @@
 use honeypulley_policy::placement;
 use honeypulley_policy::revision::Revision;
 use honeypulley_policy::time::Time;
-use honeypulley_supervisor::tree::{Duty, Stop, block_on};
+use honeypulley_supervisor::tree::{Duty, Shutdown, block_on};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::{SocketAddr, TcpListener, UdpSocket};
@@ -75,7 +75,7 @@
         "peer"
     }
 
-    fn run(&self, stop: &Stop) -> Result<()> {
+    fn run(&self, shutdown: &Shutdown) -> Result<()> {
         block_on(async {
             let socket = tokio::net::UdpSocket::from_std(self.socket.try_clone()?)?;
             let listener = tokio::net::TcpListener::from_std(self.listener.try_clone()?)?;
@@ -92,7 +92,7 @@
                 () = node.ask_on() => Ok(()),
                 () = node.send_news() => Ok(()),
                 () = node.seed() => Ok(()),
-                () = stop.halt.cancelled() => Ok(()),
+                () = shutdown.stop.cancelled() => Ok(()),
             }
         })
     }
@@ -237,12 +237,12 @@
         let ctx = &self.ctx;
         loop {
             tokio::select! {
-                v = ctx.rumours.next() => {
+                v = ctx.rumours.recv() => {
                     for to in self.any_peers(RUMOUR_FANOUT) {
                         self.send(to, Body::Rumour { bundle: v }).await;
                     }
                 }
-                v = ctx.verdicts_out.next() => {
+                v = ctx.verdicts_out.recv() => {
                     for (i, to) in self.any_peers(usize::MAX).into_iter().enumerate() {
                         self.send(to, Body::Verdict(v)).await;
                         if (i + 1).is_multiple_of(PACE) {
@@ -250,7 +250,7 @@
                         }
                     }
                 }
-                r = ctx.shared.feed.reports.next() => self.send_report(&r).await,
+                r = ctx.shared.feed.reports.recv() => self.send_report(&r).await,
             }
         }
     }
--- a/crates/honeypulley_daemon/src/permit.rs
+++ b/crates/honeypulley_daemon/src/permit.rs
@@ -8,7 +8,7 @@
 use honeypulley_policy::placement;
 use honeypulley_policy::spec::MemberState;
 use honeypulley_policy::time::Time;
-use honeypulley_supervisor::tree::{Duty, Stop, block_on};
+use honeypulley_supervisor::tree::{Duty, Shutdown, block_on};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -50,15 +50,15 @@
         "permit"
     }
 
-    fn run(&self, stop: &Stop) -> Result<()> {
+    fn run(&self, shutdown: &Shutdown) -> Result<()> {
         block_on(async {
             let (mut seen, mut pending) = (Seen::new(), Pending::new());
             let mut sweep = tokio::time::interval(SWEEP);
             let mut tick = tokio::time::interval(TICK);
             loop {
                 tokio::select! {
-                    () = stop.halt.cancelled() => return Ok(()),
-                    w = self.ctx.requests.next() => {
+                    () = shutdown.stop.cancelled() => return Ok(()),
+                    w = self.ctx.requests.recv() => {
                         // A later request for the same upstream replaces the earlier.
                         let turn = Turn { kind: w.kind, due: self.ctx.now(), tries: 0 };
                         pending.insert((w.service, w.upstream), turn);
--- a/crates/honeypulley_daemon/src/platform.rs
+++ b/crates/honeypulley_daemon/src/platform.rs
@@ -7,7 +7,7 @@
 use honeypulley_platform::api::{Changes, Platform};
 use honeypulley_platform::permits::PREFIX;
 use honeypulley_policy::revision::Revision;
-use honeypulley_supervisor::tree::{Duty, Stop, block_on};
+use honeypulley_supervisor::tree::{Duty, Shutdown, block_on};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::sleep;
@@ -41,13 +41,13 @@
         "platform"
     }
 
-    fn run(&self, stop: &Stop) -> Result<()> {
+    fn run(&self, shutdown: &Shutdown) -> Result<()> {
         block_on(async {
             tokio::select! {
                 () = self.follow_list() => {}
                 () = self.follow_head() => {}
                 () = self.follow_permits() => {}
-                () = stop.halt.cancelled() => {}
+                () = shutdown.stop.cancelled() => {}
             }
             Ok(())
         })
--- a/crates/honeypulley_daemon/src/serve.rs
+++ b/crates/honeypulley_daemon/src/serve.rs
@@ -4,7 +4,7 @@
 use honeypulley_proxy::gate::Gate;
 use honeypulley_proxy::handler::ProxyHandler;
 use honeypulley_proxy::shared::Feeder;
-use honeypulley_supervisor::tree::{Duty, Stop, block_on};
+use honeypulley_supervisor::tree::{Duty, Shutdown, block_on};
 use parking_lot::Mutex;
 use salvo::conn::tcp::TcpAcceptor;
 use salvo::fuse::FuseConfig;
@@ -50,13 +50,13 @@
         "serve"
     }
 
-    fn run(&self, stop: &Stop) -> Result<()> {
-        block_on(self.serve(stop))
+    fn run(&self, shutdown: &Shutdown) -> Result<()> {
+        block_on(self.serve(shutdown))
     }
 }
 
 impl ServeDuty {
-    async fn serve(&self, stop: &Stop) -> Result<()> {
+    async fn serve(&self, shutdown: &Shutdown) -> Result<()> {
         let gate = Arc::clone(&self.gate);
         let listener = self.listener.lock().as_ref().map(TcpListener::try_clone).transpose()?;
         let listener = listener.ok_or_else(|| eyre!("serve: the port is closed already"))?;
@@ -75,7 +75,7 @@
             async move { feeder.feed().await }
         });
         let serving = tokio::spawn(server.serve(service));
-        stop.leave.cancelled().await;
+        shutdown.drain.cancelled().await;
         let began = Instant::now();
         gate.leaving.store(true, Ordering::Relaxed);
         let wait = self.limits.leave_wait;
@@ -105,7 +105,7 @@
         let open = gate.open.load(Ordering::Relaxed);
         log::info!(open; "stop: ends with {open} open");
         feeding.abort();
-        stop.halt.cancel();
+        shutdown.stop.cancel();
         Ok(())
     }
 }
--- a/crates/honeypulley_daemon/src/start.rs
+++ b/crates/honeypulley_daemon/src/start.rs
@@ -16,7 +16,7 @@
 use honeypulley_proxy::fingerprint::Fingerprinter;
 use honeypulley_proxy::shared::{Feed, Shared};
 use honeypulley_supervisor::clock::Clock;
-use honeypulley_supervisor::tree::{Duty, Stop, Tree, block_on};
+use honeypulley_supervisor::tree::{Duty, Shutdown, Supervisor, block_on};
 use logforth::record::LevelFilter;
 use parking_lot::Mutex;
 use std::net::{SocketAddr, TcpListener, UdpSocket};
@@ -75,7 +75,7 @@
         listener: Mutex::new(Some(callers)),
     };
     let ctx = Arc::new(Context::new(settings, shared));
-    Tree::new(Stop::default())
+    Supervisor::new(Shutdown::default())
         .duty(SignalDuty::default())
         .duty(AdminDuty { view: Arc::<Context>::clone(&ctx), listener: operators })
         .duty(PlatformDuty { ctx: Arc::clone(&ctx), platform: platform.clone() })
@@ -160,17 +160,17 @@
         "signal"
     }
 
-    fn run(&self, stop: &Stop) -> Result<()> {
+    fn run(&self, shutdown: &Shutdown) -> Result<()> {
         block_on(async {
             let mut term = signal(SignalKind::terminate()).wrap_err("signal: listen")?;
             let mut int = signal(SignalKind::interrupt()).wrap_err("signal: listen")?;
             let mut hup = signal(SignalKind::hangup()).wrap_err("signal: listen")?;
             loop {
                 tokio::select! {
-                    _ = term.recv() => stop.leave.cancel(),
-                    _ = int.recv() => stop.leave.cancel(),
+                    _ = term.recv() => shutdown.drain.cancel(),
+                    _ = int.recv() => shutdown.drain.cancel(),
                     _ = hup.recv() => self.hung_up(),
-                    () = stop.halt.cancelled() => return Ok(()),
+                    () = shutdown.stop.cancelled() => return Ok(()),
                 }
             }
         })
--- a/crates/honeypulley_mesh/src/peers.rs
+++ b/crates/honeypulley_mesh/src/peers.rs
@@ -15,7 +15,7 @@
 use honeypulley_peer::server::{self, Held, PeerView};
 use honeypulley_peer::socket::receive;
 use honeypulley_platform::api::Platform;
-use honeypulley_supervisor::tree::{Duty, Stop, block_on};
+use honeypulley_supervisor::tree::{Duty, Shutdown, block_on};
 use outbox::{Outbox, OutgoingDatagram, Priority};
 use std::cell::{Cell, RefCell};
 use std::net::{SocketAddr, TcpListener, UdpSocket};
@@ -61,7 +61,7 @@
         "peer"
     }
 
-    fn run(&self, stop: &Stop) -> Result<()> {
+    fn run(&self, shutdown: &Shutdown) -> Result<()> {
         block_on(async {
             let socket = tokio::net::UdpSocket::from_std(self.socket.try_clone()?)?;
             let listener = tokio::net::TcpListener::from_std(self.listener.try_clone()?)?;
@@ -91,7 +91,7 @@
                 () = node.introduce_self() => Ok(()),
                 () = node.announce_newcomers() => Ok(()),
                 () = node.send_beliefs() => Ok(()),
-                () = stop.halt.cancelled() => Ok(()),
+                () = shutdown.stop.cancelled() => Ok(()),
             }
         })
     }
--- a/crates/honeypulley_mesh/src/peers/greet.rs
+++ b/crates/honeypulley_mesh/src/peers/greet.rs
@@ -136,7 +136,7 @@
     /// Sends this box's beliefs about upstreams to the boxes that requested them.
     pub(super) async fn send_beliefs(&self) {
         loop {
-            let (to, beliefs) = self.mesh.beliefs.next().await;
+            let (to, beliefs) = self.mesh.beliefs.recv().await;
             for part in beliefs.chunks(MAX_ITEMS) {
                 let body = self.number_news(part.to_vec());
                 self.send_to(&[to], body);
--- a/crates/honeypulley_mesh/src/peers/outbox.rs
+++ b/crates/honeypulley_mesh/src/peers/outbox.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use honeypulley_peer::codec::Body;
-use honeypulley_supervisor::ring::{Full, Ring};
+use honeypulley_supervisor::ring::{OverflowPolicy, Ring};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::net::UdpSocket;
@@ -62,7 +62,7 @@
 impl Outbox {
     /// Creates an empty outbox.
     pub(super) fn new() -> Self {
-        let ring = || Ring::new(QUEUE_CAPACITY, Full::DropOldest);
+        let ring = || Ring::new(QUEUE_CAPACITY, OverflowPolicy::DropOldest);
         Self { high: ring(), normal: ring() }
     }
 
@@ -89,8 +89,8 @@
         loop {
             tokio::select! {
                 biased;
-                datagram = self.high.next() => send(socket, &datagram.bytes, &datagram.to).await,
-                datagram = self.normal.next() => {
+                datagram = self.high.recv() => send(socket, &datagram.bytes, &datagram.to).await,
+                datagram = self.normal.recv() => {
                     for to in &datagram.to {
                         send(socket, &datagram.bytes, std::slice::from_ref(to)).await;
                         self.send_high(socket).await;
--- a/crates/honeypulley_mesh/src/peers/tell.rs
+++ b/crates/honeypulley_mesh/src/peers/tell.rs
@@ -131,7 +131,7 @@
     pub(super) async fn broadcast_new_requests(&self) {
         let news = &self.mesh.requests_out;
         loop {
-            let mut items = vec![news.next().await];
+            let mut items = vec![news.recv().await];
             items.extend(std::iter::from_fn(|| news.pop()).take(MAX_REQUESTS - 1));
             self.broadcast_requests(items);
         }
@@ -162,7 +162,7 @@
 
     /// Awaits an observation; returns `None` when paced observations are due first.
     async fn next_news(&self, pacer: &Pacer) -> Option<News> {
-        let next = self.mesh.news_out.next();
+        let next = self.mesh.news_out.recv();
         let Some(due) = pacer.due(self.mesh.book().hall_addresses().count()) else {
             return Some(next.await);
         };
--- a/crates/honeypulley_mesh/src/serving.rs
+++ b/crates/honeypulley_mesh/src/serving.rs
@@ -336,8 +336,8 @@
             self.apply_updates();
             tokio::select! {
                 () = self.mesh.serving.notified() => {}
-                (from, news) = self.mesh.news_in.next() => self.apply_news(from, news),
-                requester = self.mesh.asked.next() => {
+                (from, news) = self.mesh.news_in.recv() => self.apply_news(from, news),
+                requester = self.mesh.asked.recv() => {
                     let now = self.mesh.now();
                     let mut policy = self.policy.lock();
                     let mut replies = policy.balancer().spendings(now);
--- a/crates/honeypulley_mesh/src/state.rs
+++ b/crates/honeypulley_mesh/src/state.rs
@@ -23,7 +23,7 @@
 use honeypulley_policy::routes::RouteTable;
 use honeypulley_policy::time::Time;
 use honeypulley_supervisor::clock::Clock;
-use honeypulley_supervisor::ring::{Full, Ring};
+use honeypulley_supervisor::ring::{OverflowPolicy, Ring};
 use parking_lot::{Mutex, MutexGuard};
 use std::net::SocketAddr;
 use std::pin::pin;
@@ -196,11 +196,11 @@
             clock,
             decoder,
             in_force: ArcSwapOption::empty(),
-            news_out: Ring::new(4_096, Full::DropOldest),
-            news_in: Ring::new(16_384, Full::DropOldest),
-            requests_out: Ring::new(1_024, Full::DropOldest),
-            asked: Ring::new(BELIEF_QUEUE_SIZE, Full::DropOldest),
-            beliefs: Ring::new(BELIEF_QUEUE_SIZE, Full::DropOldest),
+            news_out: Ring::new(4_096, OverflowPolicy::DropOldest),
+            news_in: Ring::new(16_384, OverflowPolicy::DropOldest),
+            requests_out: Ring::new(1_024, OverflowPolicy::DropOldest),
+            asked: Ring::new(BELIEF_QUEUE_SIZE, OverflowPolicy::DropOldest),
+            beliefs: Ring::new(BELIEF_QUEUE_SIZE, OverflowPolicy::DropOldest),
             serving: Notify::new(),
             telling: Notify::new(),
             pulling: Notify::new(),
--- a/crates/honeypulley_mesh/src/store.rs
+++ b/crates/honeypulley_mesh/src/store.rs
@@ -5,7 +5,7 @@
 use eyre::Result;
 use honeypulley_platform::api::{Changes, Freshness, Object, Platform, PlatformError};
 use honeypulley_policy::revision::Revision;
-use honeypulley_supervisor::tree::{Duty, Stop, block_on};
+use honeypulley_supervisor::tree::{Duty, Shutdown, block_on};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -39,7 +39,7 @@
         "store"
     }
 
-    fn run(&self, stop: &Stop) -> Result<()> {
+    fn run(&self, shutdown: &Shutdown) -> Result<()> {
         block_on(async {
             tokio::select! {
                 () = self.join() => {}
@@ -49,7 +49,7 @@
                 () = self.expire_entries() => {}
                 () = self.reread_list() => {}
                 () = self.sync_held() => {}
-                () = stop.halt.cancelled() => {}
+                () = shutdown.stop.cancelled() => {}
             }
             Ok(())
         })
--- a/crates/honeypulley_mesh/tests/boxes/join.rs
+++ b/crates/honeypulley_mesh/tests/boxes/join.rs
@@ -8,7 +8,7 @@
 use honeypulley_platform::api::{Changes, Expect, Freshness, Object, Platform, PlatformError};
 use honeypulley_platform::memory::{Faults, MemoryPlatform};
 use honeypulley_policy::revision::Revision;
-use honeypulley_supervisor::tree::{Stop, Tree};
+use honeypulley_supervisor::tree::{Shutdown, Supervisor};
 use parking_lot::Mutex;
 use rstest::rstest;
 use std::net::SocketAddr;
@@ -68,7 +68,7 @@
 /// Runs the store duty of one box until it is dropped.
 struct JoiningBox {
     mesh: Arc<Mesh>,
-    stop: Stop,
+    shutdown: Shutdown,
     thread: Option<std::thread::JoinHandle<()>>,
 }
 
@@ -78,10 +78,11 @@
         let settings = MeshSettings::builder().name(name).hall("hall-a").peer(addr).key(key());
         let mesh = mesh(settings.first_start(first_start).build());
         let platform: Arc<dyn Platform> = Arc::<RecordingPlatform>::clone(platform);
-        let stop = Stop::default();
-        let tree = Tree::new(stop.clone()).duty(StoreDuty { mesh: Arc::clone(&mesh), platform });
-        let thread = std::thread::spawn(move || tree.run().expect("the duty runs"));
-        Self { mesh, stop, thread: Some(thread) }
+        let shutdown = Shutdown::default();
+        let supervisor =
+            Supervisor::new(shutdown.clone()).duty(StoreDuty { mesh: Arc::clone(&mesh), platform });
+        let thread = std::thread::spawn(move || supervisor.run().expect("the duty runs"));
+        Self { mesh, shutdown, thread: Some(thread) }
     }
 
     fn wait_joined(&self) {
@@ -93,7 +94,7 @@
 
 impl Drop for JoiningBox {
     fn drop(&mut self) {
-        self.stop.halt.cancel();
+        self.shutdown.stop.cancel();
         if let Some(t) = self.thread.take() {
             let _ = t.join();
         }
--- a/crates/honeypulley_mesh/tests/boxes/model.rs
+++ b/crates/honeypulley_mesh/tests/boxes/model.rs
@@ -120,7 +120,7 @@
 fn sim_box(i: usize, memory: &Arc<MemoryPlatform>) -> SimBox {
     let addr: SocketAddr = ([10, 0, 0, i as u8 + 1], 7_000).into();
     let settings = MeshSettings::builder().name(format!("box{i}")).hall("h").peer(addr).key(key());
-    let mesh = mesh_with_clock(settings.build(), Clock::start_by(|| CLOCK.with(Cell::get)));
+    let mesh = mesh_with_clock(settings.build(), Clock::with_source(|| CLOCK.with(Cell::get)));
     let platform = EpochWatch::new(Arc::<MemoryPlatform>::clone(memory), Arc::clone(&mesh));
     let (cursors, serving, table) = ([None; 2], BTreeMap::new(), 0);
     SimBox { mesh, platform, addr, cursors, serving, table }
--- a/crates/honeypulley_mesh/tests/boxes/restore.rs
+++ b/crates/honeypulley_mesh/tests/boxes/restore.rs
@@ -11,7 +11,7 @@
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::quarantine::{Fingerprint, RequestNews, Scope};
 use honeypulley_policy::revision::Revision;
-use honeypulley_supervisor::tree::{Stop, Tree};
+use honeypulley_supervisor::tree::{Shutdown, Supervisor};
 use rstest::rstest;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,7 +25,7 @@
     mesh: Arc<Mesh>,
     /// The platform, unless the test supplies its own.
     memory: Arc<MemoryPlatform>,
-    stop: Stop,
+    shutdown: Shutdown,
     thread: Option<std::thread::JoinHandle<()>>,
 }
 
@@ -43,11 +43,12 @@
         let settings = MeshSettings::builder().name("box1").hall("hall-a").peer(addr).key(key());
         let mesh = mesh(settings.build());
         let platform: Arc<dyn Platform> = Arc::new(EpochWatch::new(inner, Arc::clone(&mesh)));
-        let stop = Stop::default();
-        let tree = Tree::new(stop.clone()).duty(StoreDuty { mesh: Arc::clone(&mesh), platform });
-        let thread = std::thread::spawn(move || tree.run().expect("the duty runs"));
+        let shutdown = Shutdown::default();
+        let supervisor =
+            Supervisor::new(shutdown.clone()).duty(StoreDuty { mesh: Arc::clone(&mesh), platform });
+        let thread = std::thread::spawn(move || supervisor.run().expect("the duty runs"));
         wait_until("the box is a reader", || mesh.readers().is_reading() && mesh.knows_list());
-        Self { mesh, memory: Arc::default(), stop, thread: Some(thread) }
+        Self { mesh, memory: Arc::default(), shutdown, thread: Some(thread) }
     }
 
     fn is_stored(&self, key: &str) -> bool {
@@ -57,7 +58,7 @@
 
 impl Drop for Reader {
     fn drop(&mut self) {
-        self.stop.halt.cancel();
+        self.shutdown.stop.cancel();
         if let Some(t) = self.thread.take() {
             let _ = t.join();
         }
--- a/crates/honeypulley_mesh/tests/boxes/support.rs
+++ b/crates/honeypulley_mesh/tests/boxes/support.rs
@@ -15,7 +15,7 @@
 use honeypulley_policy::routes::{CallerLimits, RouteTable};
 use honeypulley_policy::spec::{Member, MemberState};
 use honeypulley_supervisor::clock::Clock;
-use honeypulley_supervisor::tree::{Stop, Tree};
+use honeypulley_supervisor::tree::{Shutdown, Supervisor};
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -131,7 +131,7 @@
     pub mesh: Arc<Mesh>,
     pub addr: SocketAddr,
     hall: String,
-    stop: Stop,
+    shutdown: Shutdown,
     thread: Option<JoinHandle<()>>,
 }
 
@@ -171,11 +171,11 @@
         socket.set_nonblocking(true).expect("the socket can be non-blocking");
         let settings = MeshSettings::builder().name(name).hall(hall).peer(addr).key(key());
         let mesh = mesh(settings.seeds(seeds).build());
-        let stop = Stop::default();
+        let shutdown = Shutdown::default();
         let duty = PeerDuty { mesh: Arc::clone(&mesh), platform, socket, listener };
-        let tree = Tree::new(stop.clone()).duty(duty);
-        let thread = std::thread::spawn(move || tree.run().expect("the duty runs"));
-        Self { mesh, addr, hall: hall.to_owned(), stop, thread: Some(thread) }
+        let supervisor = Supervisor::new(shutdown.clone()).duty(duty);
+        let thread = std::thread::spawn(move || supervisor.run().expect("the duty runs"));
+        Self { mesh, addr, hall: hall.to_owned(), shutdown, thread: Some(thread) }
     }
 
     /// Makes this box a reader that has just had an answer of the platform.
@@ -218,7 +218,7 @@
 
 impl Drop for TestBox {
     fn drop(&mut self) {
-        self.stop.halt.cancel();
+        self.shutdown.stop.cancel();
         if let Some(t) = self.thread.take() {
             let _ = t.join();
         }
--- a/crates/honeypulley_proxy/src/shared.rs
+++ b/crates/honeypulley_proxy/src/shared.rs
@@ -19,7 +19,7 @@
 use honeypulley_policy::spec::Member;
 use honeypulley_policy::time::Time;
 use honeypulley_supervisor::clock::Clock;
-use honeypulley_supervisor::ring::{Full, Ring};
+use honeypulley_supervisor::ring::{OverflowPolicy, Ring};
 use http::{HeaderMap, Method, StatusCode};
 use parking_lot::Mutex;
 use std::fmt;
@@ -67,12 +67,12 @@
 impl Default for Feed {
     fn default() -> Self {
         Self {
-            bundles: Ring::new(4, Full::DropOldest),
-            members: Ring::new(4, Full::DropOldest),
-            permits: Ring::new(4, Full::DropOldest),
-            confirms: Ring::new(4, Full::DropOldest),
-            verdicts: Ring::new(1_024, Full::DropOldest),
-            reports: Ring::new(4_096, Full::DropNewest),
+            bundles: Ring::new(4, OverflowPolicy::DropOldest),
+            members: Ring::new(4, OverflowPolicy::DropOldest),
+            permits: Ring::new(4, OverflowPolicy::DropOldest),
+            confirms: Ring::new(4, OverflowPolicy::DropOldest),
+            verdicts: Ring::new(1_024, OverflowPolicy::DropOldest),
+            reports: Ring::new(4_096, OverflowPolicy::DropNewest),
         }
     }
 }
--- a/crates/honeypulley_proxy/tests/race/suspended.rs
+++ b/crates/honeypulley_proxy/tests/race/suspended.rs
@@ -26,7 +26,7 @@
         let _connection = listener.accept().await;
         std::future::pending::<()>().await;
     });
-    let gate = test_gate(&[addr], Clock::start_by(time_since_boot));
+    let gate = test_gate(&[addr], Clock::with_source(time_since_boot));
     let race = race(&gate, Duration::from_secs(30));
     let resume = async {
         tokio::time::sleep(Duration::from_millis(100)).await;
--- a/crates/honeypulley_supervisor/src/clock.rs
+++ b/crates/honeypulley_supervisor/src/clock.rs
@@ -19,12 +19,12 @@
     /// Starts a clock at zero.
     #[must_use]
     pub fn start() -> Self {
-        Self::start_by(since_boot)
+        Self::with_source(since_boot)
     }
 
     /// Starts a clock that reads `source`, which must be monotonic; for tests.
     #[must_use]
-    pub fn start_by(source: fn() -> Duration) -> Self {
+    pub fn with_source(source: fn() -> Duration) -> Self {
         Self { start: source(), source }
     }
 
--- a/crates/honeypulley_supervisor/src/lib.rs
+++ b/crates/honeypulley_supervisor/src/lib.rs
@@ -8,7 +8,7 @@
 pub mod prelude {
     pub use crate::{
         clock::Clock,
-        ring::{Full, Ring},
-        tree::{Duty, Stop, Tree},
+        ring::{OverflowPolicy, Ring},
+        tree::{Duty, Shutdown, Supervisor},
     };
 }
--- a/crates/honeypulley_supervisor/src/ring.rs
+++ b/crates/honeypulley_supervisor/src/ring.rs
@@ -9,7 +9,7 @@
 
 /// Overflow policy of a ring.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Full {
+pub enum OverflowPolicy {
     /// Drops the oldest item; for news that later news replaces.
     DropOldest,
     /// Drops the new item; for evidence, of which more will follow.
@@ -20,7 +20,7 @@
 #[derive(Debug)]
 struct Inner<T> {
     queue: ArrayQueue<T>,
-    policy: Full,
+    policy: OverflowPolicy,
     dropped: AtomicU64,
     pushed: Notify,
 }
@@ -41,7 +41,7 @@
     /// # Panics
     /// Panics if `capacity` is zero.
     #[must_use]
-    pub fn new(capacity: usize, policy: Full) -> Self {
+    pub fn new(capacity: usize, policy: OverflowPolicy) -> Self {
         let queue = ArrayQueue::new(capacity);
         Self(Arc::new(Inner { queue, policy, dropped: AtomicU64::new(0), pushed: Notify::new() }))
     }
@@ -49,8 +49,8 @@
     /// Adds an item without blocking.
     pub fn push(&self, item: T) {
         let dropped = match self.0.policy {
-            Full::DropOldest => self.0.queue.force_push(item).is_some(),
-            Full::DropNewest => self.0.queue.push(item).is_err(),
+            OverflowPolicy::DropOldest => self.0.queue.force_push(item).is_some(),
+            OverflowPolicy::DropNewest => self.0.queue.push(item).is_err(),
         };
         if dropped {
             self.0.dropped.fetch_add(1, Ordering::Relaxed);
@@ -65,7 +65,7 @@
     }
 
     /// Removes and returns the oldest item; waits for one if the ring is empty.
-    pub async fn next(&self) -> T {
+    pub async fn recv(&self) -> T {
         loop {
             if let Some(item) = self.pop() {
                 return item;
--- a/crates/honeypulley_supervisor/src/tree.rs
+++ b/crates/honeypulley_supervisor/src/tree.rs
@@ -17,11 +17,11 @@
 
 /// Two-phase shutdown signal of a process.
 #[derive(Clone, Debug, Default)]
-pub struct Stop {
+pub struct Shutdown {
     /// Set when a planned shutdown begins: no new work is accepted, open work continues.
-    pub leave: CancellationToken,
+    pub drain: CancellationToken,
     /// Set when open work has ended and every duty is to return.
-    pub halt: CancellationToken,
+    pub stop: CancellationToken,
 }
 
 /// A long-running duty of a process, with a thread of its own.
@@ -31,25 +31,25 @@
     /// Returns the name of the duty, for its thread and log lines.
     fn name(&self) -> &'static str;
 
-    /// Runs the duty until `stop.halt` is set.
+    /// Runs the duty until `shutdown.stop` is set.
     ///
     /// # Errors
     /// Returns an error if the run failed; the supervisor then restarts the duty.
-    fn run(&self, stop: &Stop) -> Result<()>;
+    fn run(&self, shutdown: &Shutdown) -> Result<()>;
 }
 
 /// A supervisor and its duties.
 #[derive(Debug, Default)]
-pub struct Tree {
+pub struct Supervisor {
     duties: Vec<Arc<dyn Duty>>,
-    stop: Stop,
+    shutdown: Shutdown,
 }
 
-impl Tree {
-    /// Builds a supervisor without duties, which shuts down on `stop`.
+impl Supervisor {
+    /// Builds a supervisor without duties, which shuts down on `shutdown`.
     #[must_use]
-    pub const fn new(stop: Stop) -> Self {
-        Self { duties: Vec::new(), stop }
+    pub const fn new(shutdown: Shutdown) -> Self {
+        Self { duties: Vec::new(), shutdown }
     }
 
     /// Adds a duty.
@@ -59,16 +59,16 @@
         self
     }
 
-    /// Runs all duties until `halt` is set, restarting those that fail.
+    /// Runs all duties until `stop` is set, restarting those that fail.
     ///
     /// # Errors
     /// Returns an error if a thread can't be spawned.
     pub fn run(self) -> Result<()> {
         let mut threads = Vec::new();
         for duty in self.duties {
-            let stop = self.stop.clone();
+            let shutdown = self.shutdown.clone();
             let name = duty.name();
-            let main = move || supervise(duty.as_ref(), &stop);
+            let main = move || supervise(duty.as_ref(), &shutdown);
             let thread = thread::Builder::new().name(name.to_owned()).spawn(main);
             threads.push(thread.map_err(|e| eyre!("failed to spawn thread {name}: {e}"))?);
         }
@@ -80,13 +80,13 @@
     }
 }
 
-/// Runs a duty until `halt` is set, with a backoff between its runs.
-fn supervise(duty: &dyn Duty, stop: &Stop) {
+/// Runs a duty until `stop` is set, with a backoff between its runs.
+fn supervise(duty: &dyn Duty, shutdown: &Shutdown) {
     let mut wait = MIN_BACKOFF;
-    while !stop.halt.is_cancelled() {
+    while !shutdown.stop.is_cancelled() {
         let started = Instant::now();
-        let result = catch_unwind(AssertUnwindSafe(|| duty.run(stop)));
-        if stop.halt.is_cancelled() {
+        let result = catch_unwind(AssertUnwindSafe(|| duty.run(shutdown)));
+        if shutdown.stop.is_cancelled() {
             return;
         }
         let why = match result {
--- a/crates/honeypulley_supervisor/tests/clock.rs
+++ b/crates/honeypulley_supervisor/tests/clock.rs
@@ -13,7 +13,7 @@
 
 #[test]
 fn the_clock_includes_suspensions() {
-    let clock = Clock::start_by(boot_time);
+    let clock = Clock::with_source(boot_time);
     assert_eq!(clock.now(), Time::ZERO);
     BOOT_TIME_MS.fetch_add(7_250, Ordering::Relaxed);
     assert_eq!(clock.now(), Time::from_millis(7_250));
--- a/crates/honeypulley_supervisor/tests/tree.rs
+++ b/crates/honeypulley_supervisor/tests/tree.rs
@@ -1,13 +1,13 @@
 //! Tests of the restarts of failed duties and of the overflow policies of rings.
 
 use eyre::{Result, bail};
-use honeypulley_supervisor::ring::{Full, Ring};
-use honeypulley_supervisor::tree::{Duty, Stop, Tree, block_on};
+use honeypulley_supervisor::ring::{OverflowPolicy, Ring};
+use honeypulley_supervisor::tree::{Duty, Shutdown, Supervisor, block_on};
 use rstest::rstest;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// A duty that fails in its first two runs and sets `halt` in the third.
+/// A duty that fails in its first two runs and sets `stop` in the third.
 #[derive(Debug)]
 struct Failing {
     runs: Arc<AtomicU32>,
@@ -20,7 +20,7 @@
         "failing"
     }
 
-    fn run(&self, stop: &Stop) -> Result<()> {
+    fn run(&self, shutdown: &Shutdown) -> Result<()> {
         let n = self.runs.fetch_add(1, Ordering::SeqCst);
         self.ring.push(n);
         if n < 2 {
@@ -28,12 +28,12 @@
         }
         // The ring keeps the items of the first two runs across the restarts.
         while self.ring.pop().is_some() {}
-        stop.halt.cancel();
+        shutdown.stop.cancel();
         Ok(())
     }
 }
 
-/// A duty that runs until `halt` and isn't affected by the failing one.
+/// A duty that runs until `stop` and isn't affected by the failing one.
 #[derive(Debug)]
 struct Steady(Arc<AtomicU32>);
 
@@ -42,10 +42,10 @@
         "steady"
     }
 
-    fn run(&self, stop: &Stop) -> Result<()> {
+    fn run(&self, shutdown: &Shutdown) -> Result<()> {
         self.0.fetch_add(1, Ordering::SeqCst);
         block_on(async {
-            stop.halt.cancelled().await;
+            shutdown.stop.cancelled().await;
             Ok(())
         })
     }
@@ -57,9 +57,9 @@
 #[case(|| Ok(()))]
 fn a_failed_duty_is_restarted_while_others_continue(#[case] fail: fn() -> Result<()>) {
     let (runs, steady) = (Arc::new(AtomicU32::new(0)), Arc::new(AtomicU32::new(0)));
-    let ring = Ring::new(8, Full::DropOldest);
+    let ring = Ring::new(8, OverflowPolicy::DropOldest);
     let failing = Failing { runs: Arc::clone(&runs), fail, ring };
-    Tree::new(Stop::default())
+    Supervisor::new(Shutdown::default())
         .duty(failing)
         .duty(Steady(Arc::clone(&steady)))
         .run()
@@ -68,9 +68,12 @@
 }
 
 #[rstest]
-#[case(Full::DropOldest, [3, 4, 5])]
-#[case(Full::DropNewest, [1, 2, 3])]
-fn a_full_ring_drops_and_counts_by_its_policy(#[case] policy: Full, #[case] kept: [u32; 3]) {
+#[case(OverflowPolicy::DropOldest, [3, 4, 5])]
+#[case(OverflowPolicy::DropNewest, [1, 2, 3])]
+fn a_full_ring_drops_and_counts_by_its_policy(
+    #[case] policy: OverflowPolicy,
+    #[case] kept: [u32; 3],
+) {
     let ring = Ring::new(3, policy);
     (1..=5).for_each(|i| ring.push(i));
     assert_eq!(std::iter::from_fn(|| ring.pop()).collect::<Vec<_>>(), kept);
@@ -79,8 +82,8 @@
 
 #[tokio::test]
 async fn a_push_wakes_a_waiting_reader() {
-    let ring = Ring::new(1, Full::DropOldest);
+    let ring = Ring::new(1, OverflowPolicy::DropOldest);
     let other = ring.clone();
-    let (got, ()) = tokio::join!(ring.next(), async { other.push(7) });
+    let (got, ()) = tokio::join!(ring.recv(), async { other.push(7) });
     assert_eq!(got, 7);
 }
