--- a/crates/honeypulley_mesh/src/admin.rs
+++ b/crates/honeypulley_mesh/src/admin.rs
@@ -33,7 +33,7 @@
             "reader": beacon.reader,
             "read_age_ms": beacon.read_age.as_millis() as u64,
             "in_touch": self.readers().in_touch(self.now()),
-            "boxes": self.book().count(),
+            "boxes": self.address_book().count(),
             "held": self.held_requests().len(),
             "not_ready": self.readiness().err(),
         });
@@ -42,7 +42,7 @@
 
     fn metrics(&self) -> String {
         let beacon = self.beacon();
-        let boxes = self.book().count();
+        let boxes = self.address_book().count();
         let upstreams = self.upstreams();
         let (suspected, held) = (self.suspected_requests(), self.held_requests().len());
         format!(
--- a/crates/honeypulley_mesh/src/book.rs
+++ b/crates/honeypulley_mesh/src/book.rs
@@ -22,7 +22,7 @@
 
 /// The peers known to one box.
 #[derive(Clone, Debug)]
-pub struct Book {
+pub struct AddressBook {
     me: NameId,
     hall: String,
     boxes: BTreeMap<NameId, BoxAddress>,
@@ -34,7 +34,7 @@
     halls: BTreeMap<NameId, usize>,
 }
 
-impl Book {
+impl AddressBook {
     /// Creates the empty address book of box `me` in data hall `hall`.
     #[must_use]
     pub fn new(me: NameId, hall: &str) -> Self {
@@ -44,7 +44,7 @@
     }
 
     /// Records an address; returns whether the box or its data hall is new.
-    pub fn learn(&mut self, b: BoxAddress) -> bool {
+    pub fn upsert(&mut self, b: BoxAddress) -> bool {
         if b.id == self.me {
             return false;
         }
@@ -74,13 +74,13 @@
 
     /// Returns whether this box has peers but heard none for 1.5 s.
     #[must_use]
-    pub fn is_alone(&self, now: Time) -> bool {
+    pub fn is_isolated(&self, now: Time) -> bool {
         !self.boxes.is_empty() && now.since(self.last_contact) > ISOLATION_TIMEOUT
     }
 
     /// Returns the number of known boxes per data hall, this one included.
     #[must_use]
-    pub const fn halls(&self) -> &BTreeMap<NameId, usize> {
+    pub const fn hall_sizes(&self) -> &BTreeMap<NameId, usize> {
         &self.halls
     }
 
@@ -97,7 +97,7 @@
 
     /// Returns whether any peer is reachable.
     #[must_use]
-    pub fn hears_others(&self, now: Time) -> bool {
+    pub fn has_reachable_peer(&self, now: Time) -> bool {
         self.last_heard.values().any(|t| now.since(*t) < REACHABLE_TIMEOUT)
     }
 
--- a/crates/honeypulley_mesh/src/join.rs
+++ b/crates/honeypulley_mesh/src/join.rs
@@ -119,7 +119,7 @@
             if self.mesh.now().since(registered) > MAX_BACKUP_AGE {
                 return;
             }
-            let max_delay = self.mesh.book().count() as f64 / RECORDS_PER_S;
+            let max_delay = self.mesh.address_book().count() as f64 / RECORDS_PER_S;
             tokio::time::sleep(Duration::from_secs_f64(max_delay * fastrand::f64())).await;
             let (key, record) = self.own_record();
             let mut wait = MIN_BACKOFF;
@@ -151,7 +151,7 @@
             self.mesh.unknown.store(true, Ordering::Relaxed);
             self.write_record(&key, &record).await?
         };
-        let boxes = self.mesh.book().count();
+        let boxes = self.mesh.address_book().count();
         log::info!(boxes; "join: this box is known to the platform");
         Ok(epoch)
     }
@@ -197,7 +197,11 @@
             let name = o.key.strip_prefix(prefix.as_str()).unwrap_or(&o.key);
             match serde_json::from_slice::<BoxRecord>(&o.value) {
                 Ok(r) => {
-                    self.learn(BoxAddress { id: NameId::of(name), addr: r.peer, hall: r.hall });
+                    self.add_address(BoxAddress {
+                        id: NameId::of(name),
+                        addr: r.peer,
+                        hall: r.hall,
+                    });
                 }
                 Err(e) => log::warn!(key = o.key.as_str(); "join: skipped {name}: {e}"),
             }
--- a/crates/honeypulley_mesh/src/lists.rs
+++ b/crates/honeypulley_mesh/src/lists.rs
@@ -8,7 +8,7 @@
 use crate::list::{ListChange, UpstreamList};
 use crate::state::Mesh;
 use crate::told::Reassembler;
-use honeypulley_peer::codec::{Beacon, Told};
+use honeypulley_peer::codec::{Beacon, ListUpdate};
 use honeypulley_peer::listing::{Entry, EntryState};
 use honeypulley_peer::server::Held;
 use honeypulley_platform::api::Changes;
@@ -116,7 +116,7 @@
     }
 
     /// Applies list changes, or one fragment of them, received from a peer.
-    pub fn hear_changes(&self, sender: NameId, t: Told, from: SocketAddr) {
+    pub fn hear_changes(&self, sender: NameId, t: ListUpdate, from: SocketAddr) {
         let now = self.now();
         let upto = t.upto;
         self.learn_epoch(upto.epoch, "a peer");
@@ -270,12 +270,12 @@
     ///
     /// Returns `None` if this box may not have all of them, or if they are too many.
     #[must_use]
-    pub fn changes_after(&self, since: Revision) -> Option<Vec<Told>> {
+    pub fn changes_after(&self, since: Revision) -> Option<Vec<ListUpdate>> {
         let now = self.now();
         let lists = self.lists.lock();
         let entries = lists.list.changes_after(since, now)?;
         let age = lists.list.as_of().map_or(Duration::MAX, |at| now.since(at));
-        Told::cut(lists.list.diff_base(since), lists.list.version(), age, &entries)
+        ListUpdate::cut(lists.list.diff_base(since), lists.list.version(), age, &entries)
     }
 
     /// Returns the full list, for a peer that pulls it.
--- a/crates/honeypulley_mesh/src/peers.rs
+++ b/crates/honeypulley_mesh/src/peers.rs
@@ -114,7 +114,7 @@
             return;
         }
         let is_hall_known = {
-            let mut book = self.mesh.book();
+            let mut book = self.mesh.address_book();
             book.record_contact(d.sender, self.mesh.now());
             book.knows(d.sender)
         };
@@ -126,7 +126,7 @@
             // datagram may have been forwarded by a box of this data hall.
             Body::Hello { hall, wants_book, wants_beliefs } => {
                 let sender = BoxAddress { id: d.sender, addr: from, hall };
-                let is_new = self.mesh.learn(sender.clone());
+                let is_new = self.mesh.add_address(sender.clone());
                 self.handle_hello(sender, is_new, wants_book);
                 if wants_beliefs {
                     self.mesh.asked.push(from);
@@ -168,7 +168,7 @@
             log::warn!(peer:display = from; "peer: a datagram forwarded by {from} is not ours");
             return;
         };
-        let to: Vec<SocketAddr> = self.mesh.book().hall_addresses().collect();
+        let to: Vec<SocketAddr> = self.mesh.address_book().hall_addresses().collect();
         self.outbox.enqueue(OutgoingDatagram::new(to, sealed, Priority::of(&inner.body)));
         self.handle(inner, from);
     }
--- a/crates/honeypulley_mesh/src/peers/greet.rs
+++ b/crates/honeypulley_mesh/src/peers/greet.rs
@@ -40,7 +40,7 @@
         let mut has_requested = self.mesh.settings.first_start;
         loop {
             self.queries_sent.set(0);
-            if self.mesh.book().count() == 1 {
+            if self.mesh.address_book().count() == 1 {
                 self.announce_self(self.mesh.seeds());
             } else if self.mesh.unknown.swap(false, Ordering::Relaxed) {
                 let mut to = self.mesh.seeds();
@@ -53,7 +53,7 @@
             }
             // Beliefs about upstreams that are not in the list yet would be dropped.
             let ready = self.mesh.listed.load(Ordering::Relaxed) && self.mesh.table_number() > 0;
-            if !has_requested && ready && self.mesh.book().count() > 1 {
+            if !has_requested && ready && self.mesh.address_book().count() > 1 {
                 has_requested = true;
                 self.request_beliefs();
             }
@@ -78,7 +78,7 @@
 
     /// Returns a few random peers, from this data hall if it has any.
     fn random_peers(&self) -> Vec<SocketAddr> {
-        let book = self.mesh.book();
+        let book = self.mesh.address_book();
         let mut peers: Vec<SocketAddr> = book.hall_addresses().collect();
         if peers.is_empty() {
             peers = book.addresses().collect();
@@ -102,7 +102,7 @@
     pub(super) fn handle_book(&self, boxes: Vec<BoxAddress>) {
         self.newcomers.borrow_mut().retain(|n| boxes.iter().all(|b| b.id != n.id));
         boxes.into_iter().for_each(|b| {
-            self.mesh.learn(b);
+            self.mesh.add_address(b);
         });
     }
 
@@ -154,7 +154,7 @@
         let s = &self.mesh.settings;
         let mut boxes = vec![BoxAddress { id: self.mesh.id, addr: s.peer, hall: s.hall.clone() }];
         if wants_book {
-            boxes.extend(self.mesh.book().entries().cloned());
+            boxes.extend(self.mesh.address_book().entries().cloned());
         }
         for part in boxes.chunks(MAX_BOXES) {
             self.send_to(&[to], Body::Book(part.to_vec()));
--- a/crates/honeypulley_mesh/src/peers/pull.rs
+++ b/crates/honeypulley_mesh/src/peers/pull.rs
@@ -73,7 +73,7 @@
         if actions.pull && self.pulls.get() < MAX_LIST_PULLS {
             self.pull_list();
         }
-        let boxes = self.mesh.book().count() as f64;
+        let boxes = self.mesh.address_book().count() as f64;
         if actions.read && fastrand::f64() < CONCURRENT_READS / boxes {
             self.mesh.rereading.notify_one();
         }
@@ -97,7 +97,7 @@
     /// The first is the box that announced the newest version, if any.
     fn request_targets(&self) -> Vec<SocketAddr> {
         let source = self.mesh.catch_up().source();
-        let book = self.mesh.book();
+        let book = self.mesh.address_book();
         // A forwarder may miss the same changes, but is better than no source.
         let first = source.map(|s| book.address(s.origin).unwrap_or(s.via));
         let mut others: Vec<SocketAddr> = book.hall_addresses().collect();
@@ -180,7 +180,7 @@
             return;
         }
         let now = self.mesh.now();
-        let hall_peers = self.mesh.book().hall_peers(now);
+        let hall_peers = self.mesh.address_book().hall_peers(now);
         let parent = tree::parent(self.mesh.id, &hall_peers, missed.number);
         let from = self.address(parent.unwrap_or(missed.origin)).unwrap_or(missed.via);
         self.try_pull_table(from, missed.number, TREE_TIMEOUT).await;
@@ -231,7 +231,7 @@
     }
 
     fn address(&self, id: NameId) -> Option<SocketAddr> {
-        self.mesh.book().address(id)
+        self.mesh.address_book().address(id)
     }
 }
 
--- a/crates/honeypulley_mesh/src/peers/tell.rs
+++ b/crates/honeypulley_mesh/src/peers/tell.rs
@@ -5,7 +5,7 @@
 use crate::pace::Pacer;
 use crate::readers::BEACON_INTERVAL;
 use bytes::Bytes;
-use honeypulley_peer::codec::{Body, Datagram, MAX_ITEMS, Told};
+use honeypulley_peer::codec::{Body, Datagram, ListUpdate, MAX_ITEMS};
 use honeypulley_peer::requests::MAX_REQUESTS;
 use honeypulley_policy::balance::News;
 use honeypulley_policy::quarantine::{Hold, RequestNews};
@@ -84,7 +84,7 @@
             }
             has_sent = true;
             let age = self.mesh.list_now().age.unwrap_or(Duration::MAX);
-            match Told::cut(change.since, change.upto, age, &change.entries) {
+            match ListUpdate::cut(change.since, change.upto, age, &change.entries) {
                 Some(parts) => {
                     parts
                         .into_iter()
@@ -119,7 +119,7 @@
                 self.broadcast(body, UPSTREAM_FORWARDERS);
             }
             local.into_iter().for_each(|n| pacer.add(n, now));
-            let to: Vec<SocketAddr> = self.mesh.book().hall_addresses().collect();
+            let to: Vec<SocketAddr> = self.mesh.address_book().hall_addresses().collect();
             if pacer.due(to.len()).is_some_and(|at| at <= now) {
                 let body = self.number_news(pacer.take(now));
                 self.send_to(&to, body);
@@ -163,7 +163,7 @@
     /// Awaits an observation; returns `None` when paced observations are due first.
     async fn next_news(&self, pacer: &Pacer) -> Option<News> {
         let next = self.mesh.news_out.recv();
-        let Some(due) = pacer.due(self.mesh.book().hall_addresses().count()) else {
+        let Some(due) = pacer.due(self.mesh.address_book().hall_addresses().count()) else {
             return Some(next.await);
         };
         let left = due.since(self.mesh.now());
@@ -184,7 +184,7 @@
         let priority = Priority::of(&body);
         let bytes = self.seal(body);
         let (near, far) = {
-            let book = self.mesh.book();
+            let book = self.mesh.address_book();
             let near: Vec<SocketAddr> = book.hall_addresses().collect();
             let mut rng = fastrand::Rng::new();
             (near, book.forwarders(forwarders, self.mesh.now(), &mut rng))
--- a/crates/honeypulley_mesh/src/state.rs
+++ b/crates/honeypulley_mesh/src/state.rs
@@ -1,6 +1,6 @@
 //! State that the duties of one box share.
 
-use crate::book::Book;
+use crate::book::AddressBook;
 use crate::catch_up::CatchUp;
 use crate::decoder::Decoder;
 use crate::epoch::Epoch;
@@ -156,7 +156,7 @@
     pub leaving: Arc<AtomicBool>,
     seeds: Mutex<Vec<SocketAddr>>,
     pub(crate) registry: Registry,
-    book: Mutex<Book>,
+    book: Mutex<AddressBook>,
     pub(crate) lists: Mutex<Lists>,
     readers: Mutex<Readers>,
     table: Mutex<HeldTable>,
@@ -216,7 +216,7 @@
             leaving,
             seeds: Mutex::new(settings.seeds.clone()),
             registry: Registry::default(),
-            book: Mutex::new(Book::new(id, &settings.hall)),
+            book: Mutex::new(AddressBook::new(id, &settings.hall)),
             lists: Mutex::new(Lists::default()),
             catch_up: Mutex::new(CatchUp::new(settings.first_start)),
             readers: Mutex::new(Readers::new(id).reluctant(is_slow)),
@@ -244,7 +244,7 @@
     }
 
     /// Locks the address book; the guard must be held only briefly.
-    pub fn book(&self) -> MutexGuard<'_, Book> {
+    pub fn address_book(&self) -> MutexGuard<'_, AddressBook> {
         self.book.lock()
     }
 
@@ -265,22 +265,22 @@
     }
 
     /// Records the address of a box; returns whether it was new.
-    pub fn learn(&self, b: BoxAddress) -> bool {
-        self.book.lock().learn(b)
+    pub fn add_address(&self, b: BoxAddress) -> bool {
+        self.book.lock().upsert(b)
     }
 
     /// Updates a balancer's view of the boxes that share its fleet-wide counts.
     pub fn share(&self, balancer: &mut Balancer, now: Time) {
         let book = self.book.lock();
-        balancer.set_reach(Reach { boxes: book.count(), in_touch: book.hears_others(now) });
-        balancer.set_halls(book.halls(), book.is_alone(now));
+        balancer.set_reach(Reach { boxes: book.count(), in_touch: book.has_reachable_peer(now) });
+        balancer.set_halls(book.hall_sizes(), book.is_isolated(now));
     }
 
     /// Returns the boxes and data halls that share the organisations' limits.
     #[must_use]
     pub fn limit_scope(&self, now: Time) -> Scope {
         let book = self.book.lock();
-        Scope { boxes: book.count(), halls: book.halls().len(), alone: book.is_alone(now) }
+        Scope { boxes: book.count(), halls: book.hall_sizes().len(), alone: book.is_isolated(now) }
     }
 
     /// Returns this box's rank among its hall's announcers of a subject, if it is one.
--- a/crates/honeypulley_mesh/src/store.rs
+++ b/crates/honeypulley_mesh/src/store.rs
@@ -99,7 +99,7 @@
                 log::warn!(in_touch; "readers: what the platform holds {word} to this box");
             }
             let (changed, reading) = {
-                let boxes = self.mesh.book().count();
+                let boxes = self.mesh.address_book().count();
                 let mut readers = self.mesh.readers();
                 let changed = readers.decide(boxes, fastrand::f64(), self.mesh.now());
                 (changed, readers.is_reading())
--- a/crates/honeypulley_mesh/src/told.rs
+++ b/crates/honeypulley_mesh/src/told.rs
@@ -4,7 +4,7 @@
 //! order. A lost datagram leaves the update incomplete, so that the box knows that it
 //! lacks some changes.
 
-use honeypulley_peer::codec::{MAX_TOLD_PARTS, Told};
+use honeypulley_peer::codec::{ListUpdate, MAX_FRAGMENTS};
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::revision::Revision;
 use std::collections::VecDeque;
@@ -32,8 +32,8 @@
 
 impl Reassembler {
     /// Records a fragment; returns whether its update is now complete.
-    pub fn add(&mut self, sender: NameId, t: &Told) -> bool {
-        if t.parts == 0 || t.part >= t.parts || usize::from(t.parts) > MAX_TOLD_PARTS {
+    pub fn add(&mut self, sender: NameId, t: &ListUpdate) -> bool {
+        if t.parts == 0 || t.part >= t.parts || usize::from(t.parts) > MAX_FRAGMENTS {
             return false;
         }
         let all = (1_u64 << t.parts) - 1;
--- a/crates/honeypulley_mesh/tests/boxes/departures.rs
+++ b/crates/honeypulley_mesh/tests/boxes/departures.rs
@@ -15,7 +15,7 @@
 
 use crate::support::{Connections, Passes, Relay, TestBox, all, at, entry, nothing, said, table};
 use honeypulley_mesh::list::ListChange;
-use honeypulley_peer::codec::{Beacon, Body, Told};
+use honeypulley_peer::codec::{Beacon, Body, ListUpdate};
 use honeypulley_peer::listing::{Entry, EntryState};
 use honeypulley_platform::api::Changes;
 use honeypulley_policy::spec::MemberState;
@@ -141,7 +141,7 @@
     let state = EntryState::Gone { hold: Duration::from_millis(2_300) };
     let entries = vec![Entry { name: "u0".to_owned(), version: at(11), state }];
     let update =
-        Told { since: at(10), upto: at(11), part: 0, parts: 1, age: Duration::ZERO, entries };
+        ListUpdate { since: at(10), upto: at(11), part: 0, parts: 1, age: Duration::ZERO, entries };
     other.mesh.hear_changes(sender.mesh.id, update, sender.addr);
     let changes: Vec<_> = other.mesh.next_list();
     assert!(changes.contains(&ListChange::Gone("u0".to_owned())), "{changes:?}");
--- a/crates/honeypulley_mesh/tests/boxes/join.rs
+++ b/crates/honeypulley_mesh/tests/boxes/join.rs
@@ -183,8 +183,10 @@
         old.iter().filter(|o| o.addr != b.addr).for_each(|o| b.know(o, o.addr));
     }
     let new = TestBox::start_on("new", "hall-b", vec![old[0].addr], p);
-    wait_until("all know the new box", || old.iter().all(|b| b.mesh.book().knows(new.mesh.id)));
-    wait_until("the new box knows all others", || new.mesh.book().count() == 7);
+    wait_until("all know the new box", || {
+        old.iter().all(|b| b.mesh.address_book().knows(new.mesh.id))
+    });
+    wait_until("the new box knows all others", || new.mesh.address_book().count() == 7);
 }
 
 /// A reader's new table spreads through each data hall without a call to the platform.
--- a/crates/honeypulley_mesh/tests/boxes/model.rs
+++ b/crates/honeypulley_mesh/tests/boxes/model.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use honeypulley_mesh::list::ListChange;
 use honeypulley_mesh::prelude::*;
-use honeypulley_peer::codec::{Beacon, Told};
+use honeypulley_peer::codec::{Beacon, ListUpdate};
 use honeypulley_platform::api::{Changes, Expect, Freshness, Object, Platform, PlatformError};
 use honeypulley_platform::memory::{Backup, MemoryPlatform};
 use honeypulley_policy::revision::Revision;
@@ -76,7 +76,7 @@
 /// A message that may be delivered late or more than once.
 #[derive(Clone, Debug)]
 enum Message {
-    Changes(Told),
+    Changes(ListUpdate),
     Table(Object),
     List(Changes),
     Beacon(Beacon),
--- a/crates/honeypulley_mesh/tests/boxes/restore.rs
+++ b/crates/honeypulley_mesh/tests/boxes/restore.rs
@@ -4,7 +4,7 @@
 use async_trait::async_trait;
 use bytes::Bytes;
 use honeypulley_mesh::prelude::*;
-use honeypulley_peer::codec::{Beacon, Told};
+use honeypulley_peer::codec::{Beacon, ListUpdate};
 use honeypulley_peer::listing::{Entry, EntryState};
 use honeypulley_platform::api::{Changes, Expect, Freshness, Object, Platform, PlatformError};
 use honeypulley_platform::memory::MemoryPlatform;
@@ -215,7 +215,7 @@
         state: EntryState::Gone { hold: Duration::ZERO },
     };
     let entries: Vec<Entry> = (0..3).map(gone).collect();
-    let told = Told::cut(Revision::new(2, 0), list, Duration::ZERO, &entries);
+    let told = ListUpdate::cut(Revision::new(2, 0), list, Duration::ZERO, &entries);
     for part in told.expect("few entries can be encoded") {
         b.mesh.hear_changes(NameId(7), part, via);
     }
--- a/crates/honeypulley_mesh/tests/boxes/support.rs
+++ b/crates/honeypulley_mesh/tests/boxes/support.rs
@@ -188,7 +188,7 @@
 
     /// Adds another box to this box's address book, at `addr`.
     pub fn know(&self, other: &Self, addr: SocketAddr) {
-        self.mesh.learn(BoxAddress { id: other.mesh.id, addr, hall: other.hall.clone() });
+        self.mesh.add_address(BoxAddress { id: other.mesh.id, addr, hall: other.hall.clone() });
     }
 
     /// Returns whether this box lists an upstream as gone or leaving, or not at all.
--- a/crates/honeypulley_mesh/tests/fleet.rs
+++ b/crates/honeypulley_mesh/tests/fleet.rs
@@ -4,11 +4,11 @@
 //! transport is a model of `peers`: a reader sends to its own data hall and to three boxes of
 //! each other one, which forward the datagrams. Run with `--nocapture` for the figures.
 
-use honeypulley_mesh::book::Book;
+use honeypulley_mesh::book::AddressBook;
 use honeypulley_mesh::catch_up::{CatchUp, LocalList, Progress, ReaderContact};
 use honeypulley_mesh::list::UpstreamList;
 use honeypulley_mesh::told::Reassembler;
-use honeypulley_peer::codec::Told;
+use honeypulley_peer::codec::ListUpdate;
 use honeypulley_peer::listing::{BoxAddress, Entry, EntryState};
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::revision::Revision;
@@ -53,12 +53,12 @@
     list: UpstreamList,
     reassembler: Reassembler,
     catch_up: CatchUp,
-    book: Book,
+    book: AddressBook,
 }
 
 struct Fleet {
     boxes: Vec<SimBox>,
-    fragments: Vec<Told>,
+    fragments: Vec<ListUpdate>,
     due: BinaryHeap<Reverse<(u64, u64, usize, Event)>>,
     loss: f64,
     rng: fastrand::Rng,
@@ -97,18 +97,18 @@
             .map(|i| BoxAddress { id: NameId(i as u64), addr: address(i), hall: hall(i) })
             .collect();
         let sim_box = |i: usize| {
-            let mut book = Book::new(NameId(i as u64), &hall(i));
+            let mut book = AddressBook::new(NameId(i as u64), &hall(i));
             // Only readers know boxes of other data halls, to limit memory use.
             let near = |b: &&BoxAddress| i < READERS || b.hall == hall(i);
             known.iter().filter(near).for_each(|b| {
-                book.learn(b.clone());
+                book.upsert(b.clone());
             });
             let mut list = UpstreamList::default();
             list.replace(at(BEFORE), vec![entry(99, at(BEFORE))], Duration::ZERO, Time::ZERO);
             SimBox { list, reassembler: Reassembler::default(), catch_up: CatchUp::default(), book }
         };
         let entries: Vec<Entry> = (0..LEAVING).map(|i| entry(i, at(BEFORE + 1 + i))).collect();
-        let fragments = Told::cut(at(BEFORE), at(BEFORE + LEAVING), Duration::ZERO, &entries);
+        let fragments = ListUpdate::cut(at(BEFORE), at(BEFORE + LEAVING), Duration::ZERO, &entries);
         Self {
             boxes: (0..n).map(sim_box).collect(),
             fragments: fragments.expect("the entries fit into one update"),
@@ -125,7 +125,8 @@
     fn restored(mut self) -> Self {
         let position = |number| Revision::new(2, number);
         let entries: Vec<Entry> = (0..RESTORED).map(|i| entry(i, position(i % BEFORE))).collect();
-        let fragments = Told::cut(Revision::ZERO, position(BEFORE - 1), Duration::ZERO, &entries);
+        let fragments =
+            ListUpdate::cut(Revision::ZERO, position(BEFORE - 1), Duration::ZERO, &entries);
         self.fragments = fragments.expect("the entries fit into one update");
         self
     }
--- a/crates/honeypulley_mesh/tests/told.rs
+++ b/crates/honeypulley_mesh/tests/told.rs
@@ -1,7 +1,7 @@
 //! Reassembly of list updates that are split into fragments.
 
 use honeypulley_mesh::told::Reassembler;
-use honeypulley_peer::codec::{MAX_TOLD_PARTS, Told};
+use honeypulley_peer::codec::{ListUpdate, MAX_FRAGMENTS};
 use honeypulley_peer::listing::{Entry, EntryState, MAX_ENTRIES};
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::revision::Revision;
@@ -21,8 +21,9 @@
     (0..n).map(|i| Entry { name: format!("u{i}"), version: at(11), state: state() }).collect()
 }
 
-fn cut(n: usize) -> Vec<Told> {
-    Told::cut(at(10), at(11), Duration::ZERO, &entries(n)).expect("the entries fit into one update")
+fn cut(n: usize) -> Vec<ListUpdate> {
+    ListUpdate::cut(at(10), at(11), Duration::ZERO, &entries(n))
+        .expect("the entries fit into one update")
 }
 
 #[rstest]
@@ -62,8 +63,8 @@
 
 #[test]
 fn an_oversized_update_is_not_fragmented() {
-    let too_many = entries(MAX_TOLD_PARTS * MAX_ENTRIES + 1);
-    assert_eq!(Told::cut(at(10), at(11), Duration::ZERO, &too_many), None);
+    let too_many = entries(MAX_FRAGMENTS * MAX_ENTRIES + 1);
+    assert_eq!(ListUpdate::cut(at(10), at(11), Duration::ZERO, &too_many), None);
 }
 
 #[rstest]
@@ -71,6 +72,6 @@
 #[case::an_index_beyond_the_last(2, 2)]
 #[case::more_fragments_than_allowed(0, 100)]
 fn an_invalid_fragment_is_ignored(#[case] part: u16, #[case] parts: u16) {
-    let fragments = Told { part, parts, ..cut(1)[0].clone() };
+    let fragments = ListUpdate { part, parts, ..cut(1)[0].clone() };
     assert!(!Reassembler::default().add(A, &fragments));
 }
--- a/crates/honeypulley_peer/src/codec.rs
+++ b/crates/honeypulley_peer/src/codec.rs
@@ -23,7 +23,7 @@
 ///
 /// 96 entries, more than a release of a service brings at once; beyond that a
 /// connection that carries the whole list is cheaper than the datagrams.
-pub const MAX_TOLD_PARTS: usize = 16;
+pub const MAX_FRAGMENTS: usize = 16;
 
 /// What one datagram says.
 #[derive(Clone, Debug, PartialEq)]
@@ -81,7 +81,7 @@
     /// A sealed datagram to be sent on to the receiver's data hall, as it is.
     Forward(Bytes),
     /// Changes of the list of upstreams, or a part of them.
-    Changes(Told),
+    Changes(ListUpdate),
     /// Asks for the changes after a version; the answer is [`Body::Changes`].
     Want {
         /// Position up to which the asker's list is complete.
@@ -101,7 +101,7 @@
 /// They are complete only with every part: a part that is lost must not be taken for
 /// one that was empty.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Told {
+pub struct ListUpdate {
     /// Position after which they begin.
     pub since: Revision,
     /// Position up to which all parts together are complete.
@@ -116,7 +116,7 @@
     pub entries: Vec<Entry>,
 }
 
-impl Told {
+impl ListUpdate {
     /// Cuts changes into parts that fit a datagram each; `None` if they are too many
     /// to be sent so.
     #[must_use]
@@ -127,7 +127,7 @@
         entries: &[Entry],
     ) -> Option<Vec<Self>> {
         let parts = entries.len().div_ceil(MAX_ENTRIES).max(1);
-        if parts > MAX_TOLD_PARTS {
+        if parts > MAX_FRAGMENTS {
             return None;
         }
         let part = |i: usize| {
@@ -319,7 +319,7 @@
             }),
             Ok(wire::News(r)) => Self::News { seq: r.get_seq(), items: read_news(r.get_seen()?)? },
             Ok(wire::Forward(r)) => Self::Forward(Bytes::copy_from_slice(r?)),
-            Ok(wire::Changes(r)) => Self::Changes(Told {
+            Ok(wire::Changes(r)) => Self::Changes(ListUpdate {
                 since: Revision::new(r.get_since_epoch(), r.get_since()),
                 upto: Revision::new(r.get_upto_epoch(), r.get_upto()),
                 part: r.get_part(),
--- a/crates/honeypulley_peer/tests/wire.rs
+++ b/crates/honeypulley_peer/tests/wire.rs
@@ -2,7 +2,7 @@
 
 use honeypulley_bundle::head::Version;
 use honeypulley_peer::codec::{
-    Beacon, Body, Datagram, MAX_DATAGRAM, MAX_ITEMS, Told, report_bodies,
+    Beacon, Body, Datagram, ListUpdate, MAX_DATAGRAM, MAX_ITEMS, report_bodies,
 };
 use honeypulley_peer::key::FleetKey;
 use honeypulley_peer::listing::{Entry, EntryState, MAX_ENTRIES};
@@ -36,7 +36,7 @@
     )
 }
 
-fn told() -> impl Strategy<Value = Told> {
+fn told() -> impl Strategy<Value = ListUpdate> {
     let entry = ("[a-z0-9-]{1,24}", revision(), any::<u32>()).prop_map(|(name, version, hold)| {
         let state = EntryState::Gone { hold: Duration::from_millis(hold.into()) };
         Entry { name, version, state }
@@ -45,7 +45,7 @@
     (revision(), revision(), any::<[u16; 2]>(), any::<u32>(), entries).prop_map(
         |(since, upto, [part, parts], age, entries)| {
             let age = Duration::from_millis(age.into());
-            Told { since, upto, part, parts, age, entries }
+            ListUpdate { since, upto, part, parts, age, entries }
         },
     )
 }
