--- a/crates/honeypulley_mesh/src/admin.rs
+++ b/crates/honeypulley_mesh/src/admin.rs
@@ -34,7 +34,7 @@
             "read_age_ms": beacon.read_age.as_millis() as u64,
             "in_touch": self.readers().in_touch(self.now()),
             "boxes": self.address_book().count(),
-            "held": self.held_requests().len(),
+            "held": self.quarantined_requests().len(),
             "not_ready": self.readiness().err(),
         });
         status.to_string().into_bytes()
@@ -44,7 +44,7 @@
         let beacon = self.beacon();
         let boxes = self.address_book().count();
         let upstreams = self.upstreams();
-        let (suspected, held) = (self.suspected_requests(), self.held_requests().len());
+        let (suspected, held) = (self.suspected_requests(), self.quarantined_requests().len());
         format!(
             "{}honeypulley_boxes {boxes}\nhoneypulley_upstreams {upstreams}\n\
              honeypulley_table_version {}\nhoneypulley_list_version {}\n\
@@ -60,11 +60,11 @@
             beacon.epoch,
             self.restores(),
             beacon.list_age.as_millis(),
-            u8::from(self.catch_up().misses(beacon.list)),
+            u8::from(self.catch_up().is_behind(beacon.list)),
             u8::from(beacon.reader),
             beacon.read_age.as_millis(),
             self.news_in.dropped() + self.news_out.dropped(),
-            self.foreign_entries(),
+            self.invalid_entries(),
         )
     }
 
--- a/crates/honeypulley_mesh/src/catch_up.rs
+++ b/crates/honeypulley_mesh/src/catch_up.rs
@@ -148,7 +148,7 @@
 
     /// Returns whether a version newer than `held` has been announced.
     #[must_use]
-    pub fn misses(&self, held: Revision) -> bool {
+    pub fn is_behind(&self, held: Revision) -> bool {
         self.newest_announced > held
     }
 
@@ -190,8 +190,8 @@
     pub fn poll(&mut self, local: LocalList, now: Time) -> Progress {
         let is_old = local.age.is_none_or(|a| a > MAX_LIST_AGE);
         let is_stale = is_old && local.readers != ReaderContact::Able;
-        let misses = self.misses(local.version);
-        if !misses && !is_stale {
+        let is_behind = self.is_behind(local.version);
+        if !is_behind && !is_stale {
             let caught_up = |since| Progress::CaughtUp { elapsed: now.since(since) };
             return self.behind_since.take().map_or(Progress::Complete, caught_up);
         }
@@ -199,7 +199,7 @@
             self.start(now, now);
         }
         let factor = self.interval_factor(now);
-        let needs_fallback = misses || local.readers == ReaderContact::Nobody;
+        let needs_fallback = is_behind || local.readers == ReaderContact::Nobody;
         // In a first start, a peer has the missing changes as long as any box reads.
         let may_read =
             needs_fallback && !(self.in_first_start(now) && local.readers != ReaderContact::Nobody);
--- a/crates/honeypulley_mesh/src/doubts.rs
+++ b/crates/honeypulley_mesh/src/doubts.rs
@@ -16,23 +16,23 @@
 
 /// Rate-limited log of doubts.
 #[derive(Debug)]
-pub struct DoubtLog {
+pub struct SuspicionLog {
     quota: Gcra,
     /// Doubts left out since the last log line.
     left_out: u64,
 }
 
-impl Default for DoubtLog {
+impl Default for SuspicionLog {
     fn default() -> Self {
         Self { quota: Gcra::new(LINES_PER_SECOND), left_out: 0 }
     }
 }
 
-impl DoubtLog {
+impl SuspicionLog {
     /// Logs a doubt raised by a peer's report, within the rate limit.
     ///
     /// Returns whether a line was written.
-    pub fn note(&mut self, from: NameId, d: &Doubt, now: Time) -> bool {
+    pub fn log(&mut self, from: NameId, d: &Doubt, now: Time) -> bool {
         if self.quota.take(BURST, now).is_err() {
             self.left_out += 1;
             return false;
--- a/crates/honeypulley_mesh/src/epoch.rs
+++ b/crates/honeypulley_mesh/src/epoch.rs
@@ -58,7 +58,7 @@
         if epoch <= before {
             return;
         }
-        let list = self.list_now().version;
+        let list = self.list_status().version;
         // Nothing was read yet, so nothing is out of date.
         if list.is_zero() && self.table_number() == 0 {
             log::info!(epoch, from; "store: the platform's epoch is {epoch}");
--- a/crates/honeypulley_mesh/src/held.rs
+++ b/crates/honeypulley_mesh/src/held.rs
@@ -92,7 +92,8 @@
             HeldRecord::default()
         });
         let unix_now = unix_time();
-        self.mesh.hear_requests(record.held.iter().map(|h| h.request_news(unix_now)).collect());
+        self.mesh
+            .apply_request_updates(record.held.iter().map(|h| h.request_news(unix_now)).collect());
         let held = record.held.iter().map(|h| (h.request, h.trials)).collect();
         let epoch = object.version.epoch;
         Ok(StoredHolds { epoch, version: Some(object.version), held })
@@ -101,7 +102,7 @@
     /// Writes the holds if they have changed and this reader's rank is zero.
     async fn write_held(&self, stored: StoredHolds) -> Result<StoredHolds, PlatformError> {
         let now = self.mesh.now();
-        let holds = self.mesh.held_requests();
+        let holds = self.mesh.quarantined_requests();
         let held: BTreeSet<(u64, u8)> = holds.iter().map(|h| (h.request.0, h.trials)).collect();
         if held == stored.held || self.mesh.readers().rank(now) > 0 {
             return Ok(stored);
--- a/crates/honeypulley_mesh/src/join.rs
+++ b/crates/honeypulley_mesh/src/join.rs
@@ -75,7 +75,7 @@
     /// Reads the list of upstreams until this box has one.
     async fn load_list(&self) {
         let (mut wait, mut fresh) = (MIN_BACKOFF, Freshness::Stale);
-        while !self.mesh.knows_list() {
+        while !self.mesh.has_list() {
             if let Err(e) = self.read_list(fresh).await {
                 fresh = next_freshness(fresh, &e);
                 self.mesh.startup.mark_unavailable();
--- a/crates/honeypulley_mesh/src/lists.rs
+++ b/crates/honeypulley_mesh/src/lists.rs
@@ -80,7 +80,7 @@
 impl Mesh {
     /// Returns the version and the age of this box's list.
     #[must_use]
-    pub fn list_now(&self) -> ListNow {
+    pub fn list_status(&self) -> ListNow {
         let now = self.now();
         let lists = self.lists.lock();
         let age = lists.list.as_of().map(|at| now.since(at));
@@ -96,12 +96,12 @@
 
     /// Returns the pending list changes for the serving thread, and clears them.
     #[must_use]
-    pub fn next_list(&self) -> Vec<ListChange> {
+    pub fn take_list_changes(&self) -> Vec<ListChange> {
         std::mem::take(&mut self.lists.lock().pending).into_values().collect()
     }
 
     /// Applies changes from this box's own watch, which leaves no gap before them.
-    pub fn take_changes(&self, c: &Changes, from: &str) {
+    pub fn apply_watched_changes(&self, c: &Changes, from: &str) {
         let hold = self.readers().hold(self.now());
         let entries = self.decode_entries(c, hold);
         let Some(upto) = entries.iter().map(|e| e.version).max() else { return };
@@ -116,7 +116,7 @@
     }
 
     /// Applies list changes, or one fragment of them, received from a peer.
-    pub fn hear_changes(&self, sender: NameId, t: ListUpdate, from: SocketAddr) {
+    pub fn apply_peer_changes(&self, sender: NameId, t: ListUpdate, from: SocketAddr) {
         let now = self.now();
         let upto = t.upto;
         self.learn_epoch(upto.epoch, "a peer");
@@ -135,7 +135,7 @@
         if has_changed {
             self.serving.notify_one();
         }
-        self.heard_of_list(upto, sender, from);
+        self.record_list_version(upto, sender, from);
     }
 
     /// Resets a list from a stale read if the platform was recently restored.
@@ -146,7 +146,7 @@
     }
 
     /// Records that a peer has or knows of a version of the list.
-    pub(crate) fn heard_of_list(&self, version: Revision, origin: NameId, via: SocketAddr) {
+    pub(crate) fn record_list_version(&self, version: Revision, origin: NameId, via: SocketAddr) {
         let held = self.lists.lock().list.version();
         if self.catch_up().record_announcement(version, held, origin, via, self.now()) {
             log::info!(peer:display = via, version:display, held:display; "list: version {version} is missed");
@@ -157,7 +157,7 @@
     /// Applies a full list read from the platform.
     ///
     /// A reader broadcasts the resulting changes, as it does those from its watch.
-    pub fn take_list(&self, c: &Changes, from: &str) {
+    pub fn apply_full_list(&self, c: &Changes, from: &str) {
         let hold = self.readers().hold(self.now());
         let entries = self.decode_entries(c, hold);
         let before = {
@@ -187,7 +187,7 @@
     /// Applies a full list from a stale read, which may be some seconds old.
     ///
     /// It is complete up to its version; the readers broadcast newer changes.
-    pub fn take_old_list(&self, c: &Changes, from: &str) {
+    pub fn apply_stale_list(&self, c: &Changes, from: &str) {
         let hold = self.readers().hold(self.now());
         let entries = self.decode_entries(c, hold);
         self.replace(c.version, entries, from);
@@ -221,7 +221,7 @@
             let state = match self.decoder.upstream(o) {
                 Ok(l) => EntryState::Present(l),
                 Err(e) => {
-                    self.foreign.fetch_add(1, Ordering::Relaxed);
+                    self.invalid_entries.fetch_add(1, Ordering::Relaxed);
                     log::warn!("list: the entry describes no upstream: {e}");
                     EntryState::Gone { hold: Duration::ZERO }
                 }
@@ -238,8 +238,8 @@
 
     /// Returns how many entries read by this box did not describe an upstream.
     #[must_use]
-    pub fn foreign_entries(&self) -> u64 {
-        self.foreign.load(Ordering::Relaxed)
+    pub fn invalid_entries(&self) -> u64 {
+        self.invalid_entries.load(Ordering::Relaxed)
     }
 
     /// Applies the changes of entries whose hold has expired.
@@ -280,14 +280,14 @@
 
     /// Returns the full list, for a peer that pulls it.
     #[must_use]
-    pub fn held_list(&self) -> Held<Vec<Entry>> {
+    pub fn list_snapshot(&self) -> Held<Vec<Entry>> {
         let lists = self.lists.lock();
         Held { version: lists.list.version(), value: lists.list.entries(self.now()) }
     }
 
     /// Returns whether a full list has been applied.
     #[must_use]
-    pub fn knows_list(&self) -> bool {
+    pub fn has_list(&self) -> bool {
         self.lists.lock().list.is_loaded()
     }
 
--- a/crates/honeypulley_mesh/src/peers.rs
+++ b/crates/honeypulley_mesh/src/peers.rs
@@ -141,11 +141,11 @@
             }
             Body::Requests { seq, items } => {
                 if self.seen.borrow_mut().is_new(d.sender, seq) {
-                    self.mesh.hear_requests(items);
+                    self.mesh.apply_request_updates(items);
                 }
             }
             Body::Forward(sealed) => self.handle_forward(sealed, from),
-            Body::Changes(t) => self.mesh.hear_changes(d.sender, t, from),
+            Body::Changes(t) => self.mesh.apply_peer_changes(d.sender, t, from),
             Body::Want { after } => self.answer_request(after, from),
             // Used only by fleets with collectors and bundles.
             Body::Ask { .. }
@@ -190,10 +190,10 @@
     }
 
     fn table(&self) -> Held<Bytes> {
-        self.0.held_table()
+        self.0.table_snapshot()
     }
 
     fn upstreams(&self) -> Held<Vec<Entry>> {
-        self.0.held_list()
+        self.0.list_snapshot()
     }
 }
--- a/crates/honeypulley_mesh/src/peers/pull.rs
+++ b/crates/honeypulley_mesh/src/peers/pull.rs
@@ -50,7 +50,7 @@
     /// Runs the actions that are due; returns the time until the next ones.
     fn catch_up_once(self: &Rc<Self>) -> Duration {
         let now = self.mesh.now();
-        let list = self.mesh.list_now();
+        let list = self.mesh.list_status();
         let readers = self.mesh.readers().reader_contact(now);
         let local = LocalList { version: list.version, age: list.age, readers };
         let progress = self.mesh.catch_up().poll(local, now);
--- a/crates/honeypulley_mesh/src/peers/tell.rs
+++ b/crates/honeypulley_mesh/src/peers/tell.rs
@@ -83,7 +83,7 @@
                 continue;
             }
             has_sent = true;
-            let age = self.mesh.list_now().age.unwrap_or(Duration::MAX);
+            let age = self.mesh.list_status().age.unwrap_or(Duration::MAX);
             match ListUpdate::cut(change.since, change.upto, age, &change.entries) {
                 Some(parts) => {
                     parts
@@ -145,7 +145,7 @@
         if self.mesh.readers().rank(now) > 0 {
             return;
         }
-        let held = self.mesh.held_requests();
+        let held = self.mesh.quarantined_requests();
         if held.is_empty() {
             return;
         }
--- a/crates/honeypulley_mesh/src/serving.rs
+++ b/crates/honeypulley_mesh/src/serving.rs
@@ -1,6 +1,6 @@
 //! Routing and balancing on the serving thread, and the news that they produce.
 
-use crate::doubts::DoubtLog;
+use crate::doubts::SuspicionLog;
 use crate::list::ListChange;
 use crate::state::Mesh;
 use async_trait::async_trait;
@@ -113,7 +113,7 @@
     }
 
     fn inputs(&self, k: UpstreamKey, now: Time) -> Inputs {
-        Inputs { list: self.mesh.list_now(), ..self.balancer.inputs(k, now) }
+        Inputs { list: self.mesh.list_status(), ..self.balancer.inputs(k, now) }
     }
 
     fn expected(&self, ask: &Ask, now: Time) -> Option<Duration> {
@@ -326,7 +326,7 @@
     /// Balancer and limits.
     pub policy: Arc<Mutex<Announcer>>,
     /// Rate-limited log of the doubts that other boxes raise.
-    pub doubts: Mutex<DoubtLog>,
+    pub doubts: Mutex<SuspicionLog>,
 }
 
 #[async_trait]
@@ -367,7 +367,7 @@
                 log::info!(upstream, from = from.0; "news: {upstream} announced its shutdown");
             }
             if let Some(doubt) = policy.balancer().heard(from, news, now) {
-                self.doubts.lock().note(from, &doubt, now);
+                self.doubts.lock().log(from, &doubt, now);
             }
             next = self.mesh.news_in.pop();
         }
@@ -391,7 +391,7 @@
             self.mesh.in_force.store(Some(table));
         }
         let listed = self.mesh.listed.load(Ordering::Acquire);
-        for change in self.mesh.next_list() {
+        for change in self.mesh.take_list_changes() {
             match change {
                 ListChange::Set(l) => policy.balancer().set_upstream(l, now),
                 ListChange::Gone(name) => policy.balancer().remove_upstream(&name),
--- a/crates/honeypulley_mesh/src/state.rs
+++ b/crates/honeypulley_mesh/src/state.rs
@@ -165,7 +165,7 @@
     catch_up: Mutex<CatchUp>,
     pub(crate) quarantine: Mutex<Quarantine>,
     /// Number of entries read that describe no upstream.
-    pub(crate) foreign: AtomicU64,
+    pub(crate) invalid_entries: AtomicU64,
     pub(crate) epoch: Epoch,
 }
 
@@ -224,7 +224,7 @@
             next_table: Mutex::new(None),
             missed: Mutex::new(None),
             quarantine: Mutex::default(),
-            foreign: AtomicU64::new(0),
+            invalid_entries: AtomicU64::new(0),
             epoch: Epoch::default(),
             settings,
         }
@@ -294,7 +294,7 @@
     #[must_use]
     pub fn beacon(&self) -> Beacon {
         let now = self.now();
-        let list = self.list_now();
+        let list = self.list_status();
         let readers = self.readers.lock();
         Beacon {
             table: self.table.lock().number,
@@ -363,7 +363,7 @@
         }
         self.check_stale_list(&b);
         self.lists.lock().list.confirm(b.list, now.before(b.list_age));
-        self.heard_of_list(b.list, id, via);
+        self.record_list_version(b.list, id, via);
     }
 
     /// Returns the announced routing table that this box still lacks.
@@ -395,7 +395,7 @@
 
     /// Returns the held routing table, to be sent to a peer.
     #[must_use]
-    pub fn held_table(&self) -> Held<Bytes> {
+    pub fn table_snapshot(&self) -> Held<Bytes> {
         let held = self.table.lock();
         Held { version: held.revision, value: held.raw.clone() }
     }
--- a/crates/honeypulley_mesh/src/store.rs
+++ b/crates/honeypulley_mesh/src/store.rs
@@ -77,10 +77,10 @@
         let all = self.platform.list(prefix, f).await;
         let all = self.record_result("list", f, all)?;
         if f == Freshness::Stale {
-            self.mesh.take_old_list(&all, "platform");
+            self.mesh.apply_stale_list(&all, "platform");
             return Ok(Revision::ZERO);
         }
-        self.mesh.take_list(&all, "platform");
+        self.mesh.apply_full_list(&all, "platform");
         self.mesh.confirm_list();
         Ok(all.version)
     }
@@ -178,7 +178,7 @@
             match self.record_result("watch of upstreams", Freshness::Latest, got) {
                 Ok(c) => {
                     cursor.advance(c.version);
-                    self.mesh.take_changes(&c, "platform");
+                    self.mesh.apply_watched_changes(&c, "platform");
                     self.mesh.confirm_list();
                     if !(c.objects.is_empty() && c.removed.is_empty()) {
                         self.delay_next_watch().await;
--- a/crates/honeypulley_mesh/src/suspects.rs
+++ b/crates/honeypulley_mesh/src/suspects.rs
@@ -18,7 +18,7 @@
 impl Mesh {
     /// Returns the requests on hold.
     #[must_use]
-    pub fn held_requests(&self) -> Vec<Hold> {
+    pub fn quarantined_requests(&self) -> Vec<Hold> {
         self.held(self.now())
     }
 
@@ -29,7 +29,7 @@
     }
 
     /// Applies a peer's updates about suspect requests.
-    pub fn hear_requests(&self, items: Vec<RequestNews>) {
+    pub fn apply_request_updates(&self, items: Vec<RequestNews>) {
         let now = self.now();
         self.update(&mut |q| items.iter().for_each(|&news| q.heard(news, now)));
     }
--- a/crates/honeypulley_mesh/tests/boxes/departures.rs
+++ b/crates/honeypulley_mesh/tests/boxes/departures.rs
@@ -41,14 +41,17 @@
 /// Makes a reader receive the shutdown of these upstreams from its watch.
 fn announce_leaving(b: &TestBox, names: &[String]) {
     let objects = (11..).zip(names).map(|(version, n)| entry(n, "leaving", version)).collect();
-    b.mesh.take_changes(&Changes { version: at(30), objects, removed: Vec::new() }, "the test");
+    b.mesh.apply_watched_changes(
+        &Changes { version: at(30), objects, removed: Vec::new() },
+        "the test",
+    );
 }
 
 /// Makes a reader apply a full list in which the first upstream is leaving.
 fn apply_full_list(b: &TestBox) {
     let all = (1..10).map(|i| entry(&format!("u{i}"), "live", i + 1));
     let objects = all.chain([entry("u0", "leaving", 11)]).collect();
-    b.mesh.take_list(&Changes { version: at(30), objects, removed: Vec::new() }, "the test");
+    b.mesh.apply_full_list(&Changes { version: at(30), objects, removed: Vec::new() }, "the test");
 }
 
 /// Returns the beacon of a reader that the platform has just answered.
@@ -142,8 +145,8 @@
     let entries = vec![Entry { name: "u0".to_owned(), version: at(11), state }];
     let update =
         ListUpdate { since: at(10), upto: at(11), part: 0, parts: 1, age: Duration::ZERO, entries };
-    other.mesh.hear_changes(sender.mesh.id, update, sender.addr);
-    let changes: Vec<_> = other.mesh.next_list();
+    other.mesh.apply_peer_changes(sender.mesh.id, update, sender.addr);
+    let changes: Vec<_> = other.mesh.take_list_changes();
     assert!(changes.contains(&ListChange::Gone("u0".to_owned())), "{changes:?}");
 }
 
@@ -153,11 +156,11 @@
 fn a_version_known_only_to_a_lost_box_is_reached_by_reading_the_platform() {
     let (lost, b) = (TestBox::start("a", "hall-a"), TestBox::start("b", "hall-a"));
     b.mesh.take_beacon(lost.mesh.id, lost.addr, reader_beacon(12));
-    assert!(b.mesh.catch_up().misses(b.mesh.list_now().version));
+    assert!(b.mesh.catch_up().is_behind(b.mesh.list_status().version));
     let objects = (0..10).map(|i| entry(&format!("u{i}"), "live", i + 1)).collect();
-    b.mesh.take_list(&Changes { version: at(30), objects, removed: Vec::new() }, "the test");
-    let held = b.mesh.list_now().version;
-    assert!(!b.mesh.catch_up().misses(held), "the list at {held} includes all changes");
+    b.mesh.apply_full_list(&Changes { version: at(30), objects, removed: Vec::new() }, "the test");
+    let held = b.mesh.list_status().version;
+    assert!(!b.mesh.catch_up().is_behind(held), "the list at {held} includes all changes");
     assert_eq!(held, at(12), "a higher version would make peers request it");
 }
 
@@ -165,7 +168,7 @@
 fn changes_of_two_threads_are_queued_in_order() {
     let b = TestBox::start("a", "hall-a");
     // Discard the initial list; from here on, only one upstream changes.
-    assert_eq!(b.mesh.next_list().len(), 10);
+    assert_eq!(b.mesh.take_list_changes().len(), 10);
     let state = |v: u64| if v.is_multiple_of(2) { "live" } else { "leaving" };
     let changes = |v| Changes {
         version: at(v),
@@ -176,16 +179,18 @@
         for first in [11, 12] {
             let mesh = &b.mesh;
             s.spawn(move || {
-                (first..2_000).step_by(2).for_each(|v| mesh.take_changes(&changes(v), "a duty"));
+                (first..2_000)
+                    .step_by(2)
+                    .for_each(|v| mesh.apply_watched_changes(&changes(v), "a duty"));
             });
         }
         let mut last_change = None;
         for _ in 0..1_000 {
-            last_change = b.mesh.next_list().pop().or(last_change);
+            last_change = b.mesh.take_list_changes().pop().or(last_change);
         }
         last_change
     });
-    let last = b.mesh.next_list().pop().or(last_change);
+    let last = b.mesh.take_list_changes().pop().or(last_change);
     let is_leaving =
         |c: &ListChange| matches!(c, ListChange::Set(l) if l.member.state == MemberState::Leaving);
     assert_eq!(last.as_ref().is_some_and(is_leaving), b.knows_left("u0"), "{last:?}");
--- a/crates/honeypulley_mesh/tests/boxes/foreign.rs
+++ b/crates/honeypulley_mesh/tests/boxes/foreign.rs
@@ -9,7 +9,7 @@
 /// Applies objects to a box as if received from the platform's watch.
 fn apply_watched(b: &TestBox, objects: Vec<Object>) {
     let version = objects.iter().map(|o| o.version).max().unwrap_or(at(0));
-    b.mesh.take_changes(&Changes { version, objects, removed: Vec::new() }, "the test");
+    b.mesh.apply_watched_changes(&Changes { version, objects, removed: Vec::new() }, "the test");
 }
 
 /// Drains the serving thread's changes; returns each upstream's state, `None` if gone.
@@ -18,7 +18,7 @@
         ListChange::Set(l) => (l.member.name, Some(l.member.state)),
         ListChange::Gone(name) => (name, None),
     };
-    b.mesh.next_list().into_iter().map(state).collect()
+    b.mesh.take_list_changes().into_iter().map(state).collect()
 }
 
 #[test]
@@ -28,7 +28,11 @@
     apply_watched(&b, vec![entry("u3", "{]", 11), entry("u4", "leaving", 12)]);
     let expected = [("u3".to_owned(), None), ("u4".to_owned(), Some(MemberState::Leaving))];
     assert_eq!(pending_changes(&b), BTreeMap::from(expected));
-    assert_eq!(b.mesh.list_now().version, at(12), "the list is complete up to the invalid entry");
+    assert_eq!(
+        b.mesh.list_status().version,
+        at(12),
+        "the list is complete up to the invalid entry"
+    );
 }
 
 #[test]
@@ -44,7 +48,7 @@
 fn a_change_of_invalid_entries_advances_the_version() {
     let b = TestBox::start("box1", "hall-a");
     apply_watched(&b, vec![entry("stranger", "", 11)]);
-    assert_eq!(b.mesh.list_now().version, at(11));
+    assert_eq!(b.mesh.list_status().version, at(11));
     assert_eq!(pending_changes(&b).get("stranger"), Some(&None));
 }
 
@@ -56,7 +60,7 @@
         (0..10).map(|i| entry(&format!("u{i}"), "live", i + 1)).collect();
     objects[5] = entry("u5", "what is this", 20);
     objects.push(entry("stranger", "1", 21));
-    b.mesh.take_list(&Changes { version: at(21), objects, removed: Vec::new() }, "the test");
+    b.mesh.apply_full_list(&Changes { version: at(21), objects, removed: Vec::new() }, "the test");
     let pending_changes = pending_changes(&b);
     assert_eq!(pending_changes.get("u5"), Some(&None));
     assert!(!pending_changes.contains_key("u4"), "other upstreams are unchanged");
@@ -67,5 +71,5 @@
 fn invalid_entries_are_counted() {
     let b = TestBox::start("box1", "hall-a");
     apply_watched(&b, vec![entry("u3", "{]", 11), entry("stranger", "", 12)]);
-    assert_eq!(b.mesh.foreign_entries(), 2);
+    assert_eq!(b.mesh.invalid_entries(), 2);
 }
--- a/crates/honeypulley_mesh/tests/boxes/join.rs
+++ b/crates/honeypulley_mesh/tests/boxes/join.rs
@@ -86,7 +86,7 @@
     }
 
     fn wait_joined(&self) {
-        wait_until("the box has joined", || self.mesh.table_number() > 0 && self.mesh.knows_list());
+        wait_until("the box has joined", || self.mesh.table_number() > 0 && self.mesh.has_list());
         // The box's record is written last.
         std::thread::sleep(Duration::from_millis(100));
     }
@@ -152,8 +152,8 @@
     p.inner.set_faults(Faults { stale_at: before.number, ..Faults::default() });
     let b = JoiningBox::start("box1", &p, false);
     b.wait_joined();
-    assert!(b.mesh.list_now().version <= before, "{:?}", b.mesh.list_now());
-    assert_eq!(b.mesh.list_now().age, None, "the age of a stale list is unknown");
+    assert!(b.mesh.list_status().version <= before, "{:?}", b.mesh.list_status());
+    assert_eq!(b.mesh.list_status().age, None, "the age of a stale list is unknown");
     assert!(
         !b.mesh.readers().in_touch(b.mesh.now()),
         "a stale read does not show the platform's current state"
@@ -165,7 +165,7 @@
 fn a_missing_table_is_awaited_without_polling() {
     let p = Arc::new(RecordingPlatform::default());
     let b = JoiningBox::start("box1", &p, true);
-    wait_until("the list is known", || b.mesh.knows_list());
+    wait_until("the list is known", || b.mesh.has_list());
     std::thread::sleep(Duration::from_millis(900));
     assert!(p.count("stale") <= 3, "{:?}", p.calls.lock());
     write(&p, "t/main", "1");
--- a/crates/honeypulley_mesh/tests/boxes/model.rs
+++ b/crates/honeypulley_mesh/tests/boxes/model.rs
@@ -224,7 +224,7 @@
     /// Applies a list read by box `i`; returns its position if the read succeeded.
     fn apply_list(&mut self, i: usize, got: Result<Changes, PlatformError>) -> Option<Revision> {
         let all = got.ok()?;
-        self.boxes[i].mesh.take_list(&all, "platform");
+        self.boxes[i].mesh.apply_full_list(&all, "platform");
         self.boxes[i].mesh.confirm_list();
         let version = all.version;
         self.sent.push((i, i, Message::List(all)));
@@ -239,7 +239,7 @@
         let listed = self.block_on(b.platform.watch("u/", upstreams, Duration::ZERO));
         let tables = self.apply_tables(i, got);
         let listed = listed.ok().map(|c| {
-            self.boxes[i].mesh.take_changes(&c, "platform");
+            self.boxes[i].mesh.apply_watched_changes(&c, "platform");
             c.version
         });
         self.boxes[i].cursors = [tables, listed];
@@ -250,9 +250,9 @@
         let (id, addr) = (self.boxes[from].mesh.id, self.boxes[from].addr);
         let mesh = &self.boxes[to].mesh;
         match m {
-            Message::Changes(t) => mesh.hear_changes(id, t.clone(), addr),
+            Message::Changes(t) => mesh.apply_peer_changes(id, t.clone(), addr),
             Message::Table(o) => mesh.take_table(o, "late"),
-            Message::List(all) => mesh.take_list(all, "late"),
+            Message::List(all) => mesh.apply_full_list(all, "late"),
             Message::Beacon(b) => mesh.take_beacon(id, addr, *b),
         }
     }
@@ -265,10 +265,10 @@
 
     /// Makes box `to` request changes and the table of box `from`.
     fn request_changes(&mut self, from: usize, to: usize) {
-        let since = self.boxes[to].mesh.list_now().version;
+        let since = self.boxes[to].mesh.list_status().version;
         let told = self.boxes[from].mesh.changes_after(since).unwrap_or_default();
         told.into_iter().for_each(|t| self.send(from, to, Message::Changes(t)));
-        let held = self.boxes[from].mesh.held_table();
+        let held = self.boxes[from].mesh.table_snapshot();
         let key = "t/main".to_owned();
         let table = Object { key, value: held.value, version: held.version };
         if !table.value.is_empty() {
@@ -278,7 +278,7 @@
 
     /// Makes box `to` pull the full list of box `from`.
     fn pull(&mut self, from: usize, to: usize) {
-        let held = self.boxes[from].mesh.held_list();
+        let held = self.boxes[from].mesh.list_snapshot();
         if !held.version.is_zero() {
             self.boxes[to].mesh.replace(held.version, held.value, "a peer");
         }
@@ -343,7 +343,7 @@
             let table = b.mesh.table_number();
             assert!(table >= b.table, "table {} was reverted to {table}", b.table);
             b.table = table;
-            for change in b.mesh.next_list() {
+            for change in b.mesh.take_list_changes() {
                 match change {
                     ListChange::Gone(name) => {
                         b.serving.remove(&name);
--- a/crates/honeypulley_mesh/tests/boxes/restore.rs
+++ b/crates/honeypulley_mesh/tests/boxes/restore.rs
@@ -47,7 +47,7 @@
         let supervisor =
             Supervisor::new(shutdown.clone()).duty(StoreDuty { mesh: Arc::clone(&mesh), platform });
         let thread = std::thread::spawn(move || supervisor.run().expect("the duty runs"));
-        wait_until("the box is a reader", || mesh.readers().is_reading() && mesh.knows_list());
+        wait_until("the box is a reader", || mesh.readers().is_reading() && mesh.has_list());
         Self { mesh, memory: Arc::default(), shutdown, thread: Some(thread) }
     }
 
@@ -113,7 +113,7 @@
 fn holds_lost_in_a_restore_are_written_again() {
     let r = Reader::start();
     let backup = r.memory.backup();
-    r.mesh.hear_requests(vec![hold()]);
+    r.mesh.apply_request_updates(vec![hold()]);
     wait_until("the hold is stored", || r.is_stored("h/requests"));
     r.memory.restore(backup);
     assert!(!r.is_stored("h/requests"));
@@ -196,7 +196,7 @@
         .collect();
     b.mesh.learn_epoch(2, "the test");
     let version = Revision::new(2, 89);
-    b.mesh.take_old_list(&Changes { version, objects, removed: Vec::new() }, "the test");
+    b.mesh.apply_stale_list(&Changes { version, objects, removed: Vec::new() }, "the test");
     b
 }
 
@@ -217,9 +217,9 @@
     let entries: Vec<Entry> = (0..3).map(gone).collect();
     let told = ListUpdate::cut(Revision::new(2, 0), list, Duration::ZERO, &entries);
     for part in told.expect("few entries can be encoded") {
-        b.mesh.hear_changes(NameId(7), part, via);
+        b.mesh.apply_peer_changes(NameId(7), part, via);
     }
-    assert_eq!(b.mesh.list_now().version, list);
+    assert_eq!(b.mesh.list_status().version, list);
     assert!((0..3).all(|i| b.knows_left(&format!("u{i}"))));
 }
 
@@ -231,10 +231,10 @@
     let list = Revision::new(2, 95);
     let beacon = Beacon { list, restored: true, ..beacon(2) };
     b.mesh.take_beacon(NameId(7), via, beacon);
-    assert_eq!(b.mesh.list_now().version, Revision::new(2, 0));
+    assert_eq!(b.mesh.list_status().version, Revision::new(2, 0));
     b.mesh.replace(list, Vec::new(), "a peer");
     b.mesh.take_beacon(NameId(7), via, beacon);
-    assert_eq!(b.mesh.list_now().version, list);
+    assert_eq!(b.mesh.list_status().version, list);
 }
 
 #[test]
@@ -243,8 +243,8 @@
     let version = Revision::new(2, 40);
     let mut objects = vec![entry("u0", "leaving", 40)];
     objects[0].version.epoch = 2;
-    b.mesh.take_list(&Changes { version, objects, removed: Vec::new() }, "the test");
-    assert_eq!(b.mesh.list_now().version, version);
+    b.mesh.apply_full_list(&Changes { version, objects, removed: Vec::new() }, "the test");
+    assert_eq!(b.mesh.list_status().version, version);
     assert!((0..10).all(|i| b.knows_left(&format!("u{i}"))));
 }
 
@@ -295,7 +295,7 @@
     let b = TestBox::start("a", "hall-a");
     let via: SocketAddr = "10.0.0.7:7000".parse().expect("the address is valid");
     b.mesh.take_beacon(NameId(7), via, Beacon { list: at(90), ..beacon(1) });
-    assert!(b.mesh.catch_up().misses(b.mesh.list_now().version));
+    assert!(b.mesh.catch_up().is_behind(b.mesh.list_status().version));
     let objects = (0..10).map(|i| entry(&format!("u{i}"), "live", i + 1));
     let objects = objects.map(|mut o| {
         o.version.epoch = 2;
@@ -303,11 +303,11 @@
     });
     let version = Revision::new(2, 40);
     b.mesh.learn_epoch(2, "the test");
-    b.mesh.take_list(
+    b.mesh.apply_full_list(
         &Changes { version, objects: objects.collect(), removed: Vec::new() },
         "the test",
     );
-    assert!(!b.mesh.catch_up().misses(b.mesh.list_now().version));
+    assert!(!b.mesh.catch_up().is_behind(b.mesh.list_status().version));
 }
 
 /// A reader that notices a restore sends the full list, whatever its peers hold.
@@ -322,8 +322,8 @@
     objects.extend((1..9).map(|i| entry(&format!("u{i}"), "live", i + 1)));
     objects.iter_mut().for_each(|o| o.version.epoch = 2);
     let version = Revision::new(2, 9);
-    reader.mesh.take_list(&Changes { version, objects, removed: Vec::new() }, "the test");
-    wait_until("the other box has the list", || other.mesh.list_now().version.epoch == 2);
+    reader.mesh.apply_full_list(&Changes { version, objects, removed: Vec::new() }, "the test");
+    wait_until("the other box has the list", || other.mesh.list_status().version.epoch == 2);
     assert!(other.knows_left("u0"));
     assert!(other.knows_left("u9"), "a lost entry does not count as live while it is on hold");
     assert_eq!(other.mesh.upstreams(), 10, "a lost upstream gets work until its hold expires");
@@ -336,7 +336,7 @@
     let mut again = table("3", 2);
     again.version.epoch = 2;
     b.mesh.take_table(&again, "the test");
-    assert_eq!((b.mesh.table_number(), b.mesh.held_table().version), (3, again.version));
+    assert_eq!((b.mesh.table_number(), b.mesh.table_snapshot().version), (3, again.version));
 }
 
 /// A table's number identifies its content, whatever the platform returns later.
@@ -344,9 +344,9 @@
 fn a_table_of_the_held_number_with_other_content_is_dropped() {
     let b = TestBox::start("a", "hall-a");
     b.mesh.take_table(&table("3", 5), "the test");
-    let held = b.mesh.held_table();
+    let held = b.mesh.table_snapshot();
     let mut other = table("+3", 9);
     other.version.epoch = 2;
     b.mesh.take_table(&other, "the test");
-    assert_eq!(b.mesh.held_table(), held);
+    assert_eq!(b.mesh.table_snapshot(), held);
 }
--- a/crates/honeypulley_mesh/tests/boxes/support.rs
+++ b/crates/honeypulley_mesh/tests/boxes/support.rs
@@ -150,7 +150,10 @@
     ) -> Self {
         let b = Self::start_without_list(name, hall, seeds, platform);
         let objects = (0..10).map(|i| entry(&format!("u{i}"), "live", i + 1)).collect();
-        b.mesh.take_list(&Changes { version: at(10), objects, removed: Vec::new() }, "the test");
+        b.mesh.apply_full_list(
+            &Changes { version: at(10), objects, removed: Vec::new() },
+            "the test",
+        );
         b
     }
 
@@ -193,7 +196,7 @@
 
     /// Returns whether this box lists an upstream as gone or leaving, or not at all.
     pub fn knows_left(&self, name: &str) -> bool {
-        let list = self.mesh.held_list().value;
+        let list = self.mesh.list_snapshot().value;
         let found = list.iter().find(|e| e.name == name);
         !found.is_some_and(
             |e| matches!(&e.state, EntryState::Present(l) if l.member.state == MemberState::Live),
--- a/crates/honeypulley_mesh/tests/catch_up.rs
+++ b/crates/honeypulley_mesh/tests/catch_up.rs
@@ -63,7 +63,7 @@
     let progress = c.poll(local(12, 0, ReaderContact::Able), Time::from_millis(1_030));
     assert_eq!(progress, Progress::CaughtUp { elapsed: Duration::from_millis(30) });
     assert_eq!(due_actions(&mut c, local(12, 0, ReaderContact::Able), 1_031..2_000), []);
-    assert!(!c.misses(at(12)));
+    assert!(!c.is_behind(at(12)));
 }
 
 #[rstest]
