--- a/crates/honeypulley_mesh/src/epoch.rs
+++ b/crates/honeypulley_mesh/src/epoch.rs
@@ -3,7 +3,7 @@
 //! Every answer of the platform and every beacon carries the platform's epoch. A higher epoch
 //! makes the box reread table, list and holds.
 
-use crate::readers::RETURN_TIME;
+use crate::readers::RELIST_TIME;
 use crate::state::Mesh;
 use async_trait::async_trait;
 use bytes::Bytes;
@@ -67,8 +67,8 @@
         }
         let now = self.now();
         self.epoch.restores.fetch_add(1, Ordering::Relaxed);
-        self.readers().restored(now);
-        self.lists.lock().list.begin_epoch(epoch, now + RETURN_TIME);
+        self.readers().record_restore(now);
+        self.lists.lock().list.begin_epoch(epoch, now + RELIST_TIME);
         self.epoch.newest.store(epoch, Ordering::Release);
         drop(guard);
         log::warn!(
--- a/crates/honeypulley_mesh/src/list.rs
+++ b/crates/honeypulley_mesh/src/list.rs
@@ -11,7 +11,7 @@
 //! only on proof of completeness, never because of a single newer entry: a box that considers
 //! its list complete does not request missing changes.
 
-use crate::readers::RETURN_TIME;
+use crate::readers::RELIST_TIME;
 use honeypulley_peer::listing::{Entry, EntryState};
 use honeypulley_policy::balance::Listed;
 use honeypulley_policy::revision::Revision;
@@ -333,7 +333,7 @@
             self.out_of_order.pop_last();
         }
         if self.version.epoch > before {
-            self.begin_epoch(self.version.epoch, now + RETURN_TIME);
+            self.begin_epoch(self.version.epoch, now + RELIST_TIME);
             self.mark_earlier_missing();
         }
     }
--- a/crates/honeypulley_mesh/src/lists.rs
+++ b/crates/honeypulley_mesh/src/lists.rs
@@ -102,7 +102,7 @@
 
     /// Applies changes from this box's own watch, which leaves no gap before them.
     pub fn apply_watched_changes(&self, c: &Changes, from: &str) {
-        let hold = self.readers().hold(self.now());
+        let hold = self.readers().departure_hold(self.now());
         let entries = self.decode_entries(c, hold);
         let Some(upto) = entries.iter().map(|e| e.version).max() else { return };
         let mut lists = self.lists.lock();
@@ -120,7 +120,7 @@
         let now = self.now();
         let upto = t.upto;
         self.learn_epoch(upto.epoch, "a peer");
-        let hold = self.readers().hold(now);
+        let hold = self.readers().departure_hold(now);
         let mut lists = self.lists.lock();
         let is_complete = lists.reassembler.add(sender, &t);
         let changes = lists.list.apply_entries(cap_holds(t.entries, hold), now);
@@ -158,7 +158,7 @@
     ///
     /// A reader broadcasts the resulting changes, as it does those from its watch.
     pub fn apply_full_list(&self, c: &Changes, from: &str) {
-        let hold = self.readers().hold(self.now());
+        let hold = self.readers().departure_hold(self.now());
         let entries = self.decode_entries(c, hold);
         let before = {
             let list = &mut self.lists.lock().list;
@@ -188,7 +188,7 @@
     ///
     /// It is complete up to its version; the readers broadcast newer changes.
     pub fn apply_stale_list(&self, c: &Changes, from: &str) {
-        let hold = self.readers().hold(self.now());
+        let hold = self.readers().departure_hold(self.now());
         let entries = self.decode_entries(c, hold);
         self.replace(c.version, entries, from);
         self.lists.lock().list.mark_stale();
@@ -197,7 +197,7 @@
     /// Replaces the list by the full list of `version`.
     pub fn replace(&self, version: Revision, entries: Vec<Entry>, from: &str) {
         self.learn_epoch(version.epoch, from);
-        let hold = self.readers().hold(self.now());
+        let hold = self.readers().departure_hold(self.now());
         let n = entries.len();
         let mut lists = self.lists.lock();
         let changes = lists.list.replace(version, cap_holds(entries, hold), hold, self.now());
--- a/crates/honeypulley_mesh/src/readers.rs
+++ b/crates/honeypulley_mesh/src/readers.rs
@@ -18,7 +18,7 @@
 /// Interval between beacons of a reader.
 pub const BEACON_INTERVAL: Duration = Duration::from_millis(500);
 /// Timeout of a watch, short enough that an unresponsive platform is detected soon.
-pub const WATCH_WAIT: Duration = Duration::from_millis(600);
+pub const WATCH_TIMEOUT: Duration = Duration::from_millis(600);
 /// Time without any reader's beacon after which all readers count as lost.
 ///
 /// It spans two beacons of each reader, so that packet loss alone rarely triggers it.
@@ -36,7 +36,7 @@
 /// Time within which the platform lists lost entries again after an outage.
 ///
 /// The platform's owners state about two seconds.
-pub(crate) const RETURN_TIME: Duration = Duration::from_millis(2_300);
+pub(crate) const RELIST_TIME: Duration = Duration::from_millis(2_300);
 /// Maximum assumed age of the data in a stale read.
 const STALE_READ_AGE: Duration = Duration::from_secs(15);
 /// Age reported while the platform does not answer this box.
@@ -44,9 +44,9 @@
 /// Consecutive failed calls after which a reader announces that it can't read.
 const FAILURE_LIMIT: u32 = 2;
 /// Bounds of the interval between calls of [`Readers::decide`], in milliseconds.
-pub const LOOK_GAP: (u64, u64) = (150, 350);
-/// As [`LOOK_GAP`], while no reader is reachable.
-const SILENT_LOOK_GAP: (u64, u64) = (60, 140);
+pub const DECIDE_INTERVAL_MS: (u64, u64) = (150, 350);
+/// As [`DECIDE_INTERVAL_MS`], while no reader is reachable.
+const SILENT_DECIDE_INTERVAL_MS: (u64, u64) = (60, 140);
 /// Factor on the start probability of a box with a narrow link.
 const NARROW_LINK_FACTOR: f64 = 0.1;
 /// Probability, per decision, that a box with a narrow link stops if others suffice.
@@ -115,7 +115,7 @@
     ///
     /// Such a box leaves reading to others if they suffice.
     #[must_use]
-    pub const fn reluctant(mut self, narrow: bool) -> Self {
+    pub const fn with_slow_link(mut self, narrow: bool) -> Self {
         self.narrow_link = narrow;
         self
     }
@@ -123,15 +123,15 @@
     /// Records that a call of this box to the platform failed or timed out.
     ///
     /// Returns whether this box has now become unable to read.
-    pub fn failed(&mut self, timed_out: bool) -> bool {
+    pub fn record_failure(&mut self, timed_out: bool) -> bool {
         self.has_failed = true;
         let previous = self.consecutive_failures;
         self.consecutive_failures += if timed_out { FAILURE_LIMIT } else { 1 };
-        previous < FAILURE_LIMIT && self.is_unable()
+        previous < FAILURE_LIMIT && self.is_read_failing()
     }
 
     /// Records a reader's beacon.
-    pub fn heard(&mut self, id: NameId, b: &Beacon, now: Time) {
+    pub fn record_beacon(&mut self, id: NameId, b: &Beacon, now: Time) {
         if !b.reader {
             self.beacons.remove(&id);
             return;
@@ -150,18 +150,18 @@
     /// Records that the platform answered this box.
     ///
     /// Returns whether this box had been unable to read before.
-    pub fn answered(&mut self, now: Time) -> bool {
-        let was_unable = self.is_unable();
+    pub fn record_answer(&mut self, now: Time) -> bool {
+        let was_failing = self.is_read_failing();
         self.last_read = Some(now);
         self.consecutive_failures = 0;
         self.record_contact(now);
-        was_unable
+        was_failing
     }
 
     /// Records the answer of a stale read, which may be some seconds old.
     ///
     /// It proves that the platform is available, but not what its objects currently are.
-    pub const fn answered_old(&mut self, now: Time) {
+    pub const fn record_stale_answer(&mut self, now: Time) {
         self.stale_answer = Some(now);
     }
 
@@ -173,7 +173,7 @@
     /// Records that the platform has just been restored from a backup.
     ///
     /// Earlier answers do not reflect the restored objects.
-    pub const fn restored(&mut self, now: Time) {
+    pub const fn record_restore(&mut self, now: Time) {
         self.returned_at = Some(now);
         self.restored_at = Some(now);
         self.last_answer = None;
@@ -187,7 +187,7 @@
     }
 
     /// Removes a reader that has not detected the platform's restore yet.
-    pub fn fall_behind(&mut self, id: NameId) {
+    pub fn remove_reader(&mut self, id: NameId) {
         self.beacons.remove(&id);
     }
 
@@ -207,13 +207,13 @@
     /// readers is no evidence of an outage: if it were treated as one, every unannounced
     /// departure would take effect 2.3 s late whenever all readers had been lost.
     #[must_use]
-    pub fn hold(&self, now: Time) -> Duration {
+    pub fn departure_hold(&self, now: Time) -> Duration {
         let is_unavailable = self.has_failed
             && self.last_available().is_some_and(|c| now.since(c) > OUTAGE_THRESHOLD);
         if is_unavailable {
-            return RETURN_TIME;
+            return RELIST_TIME;
         }
-        self.returned_at.map_or(Duration::ZERO, |r| RETURN_TIME.saturating_sub(now.since(r)))
+        self.returned_at.map_or(Duration::ZERO, |r| RELIST_TIME.saturating_sub(now.since(r)))
     }
 
     /// Returns whether the platform answered any box recently.
@@ -225,13 +225,13 @@
     /// Returns the age of the platform's last answer to this box.
     #[must_use]
     pub fn read_age(&self, now: Time) -> Duration {
-        let known = self.last_read.filter(|_| !self.is_unable());
+        let known = self.last_read.filter(|_| !self.is_read_failing());
         known.map_or(NO_ANSWER_AGE, |t| now.since(t))
     }
 
     /// Returns whether this box's calls to the platform keep failing.
     #[must_use]
-    pub const fn is_unable(&self) -> bool {
+    pub const fn is_read_failing(&self) -> bool {
         self.consecutive_failures >= FAILURE_LIMIT
     }
 
@@ -262,9 +262,9 @@
     ///
     /// It is short while no reader is reachable, since departures go undetected meanwhile.
     #[must_use]
-    pub fn look_gap(&self, now: Time) -> (u64, u64) {
+    pub fn decide_interval(&self, now: Time) -> (u64, u64) {
         let is_urgent = self.is_silent(now) && !self.is_reading();
-        if is_urgent { SILENT_LOOK_GAP } else { LOOK_GAP }
+        if is_urgent { SILENT_DECIDE_INTERVAL_MS } else { DECIDE_INTERVAL_MS }
     }
 
     /// Returns whether no reader's beacon has arrived for [`SILENCE_TIMEOUT`].
@@ -298,13 +298,13 @@
 
     /// Decides whether to be a reader; `draw` is uniformly random in `0.0..1.0`.
     ///
-    /// Must be called at intervals of [`Readers::look_gap`]. Returns whether the role changed.
+    /// Must be called at intervals of [`Readers::decide_interval`]. Returns whether the role changed.
     pub fn decide(&mut self, boxes: usize, draw: f64, now: Time) -> bool {
         let was_reading = self.reading_since.is_some();
         let no_reader = self.is_silent(now) || self.live(now).is_empty();
         let fresh = if no_reader { 0 } else { self.fresh(now).count() };
         if let Some(since) = self.reading_since {
-            let is_recent = now.since(since) < MAX_FRESH_AGE && !self.is_unable();
+            let is_recent = now.since(since) < MAX_FRESH_AGE && !self.is_read_failing();
             let is_trusted = is_recent || self.read_age(now) < MAX_FRESH_AGE;
             let is_surplus = if is_trusted { self.rank(now) >= WANTED } else { fresh >= WANTED };
             let is_yielding =
--- a/crates/honeypulley_mesh/src/state.rs
+++ b/crates/honeypulley_mesh/src/state.rs
@@ -219,7 +219,7 @@
             book: Mutex::new(AddressBook::new(id, &settings.hall)),
             lists: Mutex::new(Lists::default()),
             catch_up: Mutex::new(CatchUp::new(settings.first_start)),
-            readers: Mutex::new(Readers::new(id).reluctant(is_slow)),
+            readers: Mutex::new(Readers::new(id).with_slow_link(is_slow)),
             table: Mutex::new(HeldTable::default()),
             next_table: Mutex::new(None),
             missed: Mutex::new(None),
@@ -303,7 +303,7 @@
             restored: readers.is_restored(now),
             reader: readers.is_reading(),
             read_age: readers.read_age(now),
-            unable: readers.is_unable(),
+            unable: readers.is_read_failing(),
             list_age: list.age.unwrap_or(UNKNOWN_AGE),
         }
     }
@@ -353,9 +353,9 @@
         let epoch = b.epoch.max(b.list.epoch);
         self.learn_epoch(epoch, "a peer");
         if epoch < self.epoch() {
-            self.readers.lock().fall_behind(id);
+            self.readers.lock().remove_reader(id);
         } else {
-            self.readers.lock().heard(id, &b, now);
+            self.readers.lock().record_beacon(id, &b, now);
         }
         if b.table > self.table.lock().number {
             *self.missed.lock() = Some(MissedTable { number: b.table, origin: id, via });
--- a/crates/honeypulley_mesh/src/store.rs
+++ b/crates/honeypulley_mesh/src/store.rs
@@ -1,6 +1,6 @@
 //! Reads and watches the platform's store while this box is a reader.
 
-use crate::readers::{LOOK_GAP, WATCH_WAIT};
+use crate::readers::{DECIDE_INTERVAL_MS, WATCH_TIMEOUT};
 use crate::state::Mesh;
 use eyre::Result;
 use honeypulley_platform::api::{Changes, Freshness, Object, Platform, PlatformError};
@@ -110,7 +110,7 @@
                 self.mesh.reader_changed.notify_waiters();
                 self.mesh.telling.notify_one();
             }
-            let gap = self.mesh.readers().look_gap(self.mesh.now());
+            let gap = self.mesh.readers().decide_interval(self.mesh.now());
             let gap = fastrand::u64(gap.0..gap.1);
             tokio::time::sleep(Duration::from_millis(gap)).await;
         }
@@ -141,7 +141,7 @@
                 continue;
             };
             let keys = self.mesh.decoder.keys();
-            let watch = self.platform.watch(&keys.tables, since, WATCH_WAIT);
+            let watch = self.platform.watch(&keys.tables, since, WATCH_TIMEOUT);
             let Some(got) = until_restored(restored, watch).await else { continue };
             match self.record_result("watch of tables", Freshness::Latest, got) {
                 Ok(c) => {
@@ -173,7 +173,7 @@
                 continue;
             };
             let prefix = &self.mesh.decoder.keys().upstreams;
-            let watch = self.platform.watch(prefix, since, WATCH_WAIT);
+            let watch = self.platform.watch(prefix, since, WATCH_TIMEOUT);
             let Some(got) = until_restored(restored, watch).await else { continue };
             match self.record_result("watch of upstreams", Freshness::Latest, got) {
                 Ok(c) => {
@@ -213,7 +213,7 @@
     async fn expire_entries(&self) {
         loop {
             self.mesh.expire_list();
-            tokio::time::sleep(Duration::from_millis(LOOK_GAP.1)).await;
+            tokio::time::sleep(Duration::from_millis(DECIDE_INTERVAL_MS.1)).await;
         }
     }
 
@@ -228,7 +228,7 @@
     ) -> Result<T, PlatformError> {
         match &r {
             Ok(_) if f == Freshness::Stale => {
-                self.mesh.readers().answered_old(self.mesh.now());
+                self.mesh.readers().record_stale_answer(self.mesh.now());
             }
             // The platform is reachable, but its objects have to be reread.
             Err(e @ PlatformError::Restored { .. }) => {
@@ -238,14 +238,14 @@
                 if let Err(e) = &r {
                     log::info!("store: {what} needs a full read: {e}");
                 }
-                if self.mesh.readers().answered(self.mesh.now()) {
+                if self.mesh.readers().record_answer(self.mesh.now()) {
                     log::info!("readers: the platform responds to this box again");
                 }
             }
             Err(e) => {
                 log::info!("store: {what} failed: {e}");
                 let timed_out = matches!(e, PlatformError::Unknown { .. });
-                if self.mesh.readers().failed(timed_out) {
+                if self.mesh.readers().record_failure(timed_out) {
                     log::warn!("readers: the platform no longer responds to this box");
                     self.mesh.telling.notify_one();
                 }
--- a/crates/honeypulley_mesh/tests/boxes/departures.rs
+++ b/crates/honeypulley_mesh/tests/boxes/departures.rs
@@ -140,7 +140,7 @@
 fn a_peer_cannot_impose_its_hold_on_a_connected_box() {
     let (sender, other) = (TestBox::start("a", "hall-a"), TestBox::start("b", "hall-a"));
     let now = other.mesh.now();
-    other.mesh.readers().heard(sender.mesh.id, &reader_beacon(10), now);
+    other.mesh.readers().record_beacon(sender.mesh.id, &reader_beacon(10), now);
     let state = EntryState::Gone { hold: Duration::from_millis(2_300) };
     let entries = vec![Entry { name: "u0".to_owned(), version: at(11), state }];
     let update =
--- a/crates/honeypulley_mesh/tests/boxes/support.rs
+++ b/crates/honeypulley_mesh/tests/boxes/support.rs
@@ -185,7 +185,7 @@
     pub fn read(&self) {
         let now = self.mesh.now();
         self.mesh.readers().decide(1, 0.0, now);
-        self.mesh.readers().answered(now);
+        self.mesh.readers().record_answer(now);
         assert!(self.mesh.readers().is_reading());
     }
 
--- a/crates/honeypulley_mesh/tests/readers.rs
+++ b/crates/honeypulley_mesh/tests/readers.rs
@@ -53,7 +53,7 @@
                 // The store answers each reader once a second; decisions are due each 250 ms.
                 if self.boxes[i].is_reading() && self.answered[i] && self.now.is_multiple_of(1_000)
                 {
-                    self.boxes[i].answered(now);
+                    self.boxes[i].record_answer(now);
                 }
                 let due = (self.now + i as u64 * STEP).is_multiple_of(250);
                 if due {
@@ -69,10 +69,10 @@
     }
 
     fn beacon(&mut self, i: usize, now: Time) {
-        let beacon = beacon(self.boxes[i].read_age(now), self.boxes[i].is_unable());
+        let beacon = beacon(self.boxes[i].read_age(now), self.boxes[i].is_read_failing());
         for j in (0..self.boxes.len()).filter(|j| *j != i) {
             if !self.isolated[j] {
-                self.boxes[j].heard(NameId(i as u64 + 1), &beacon, now);
+                self.boxes[j].record_beacon(NameId(i as u64 + 1), &beacon, now);
             }
         }
     }
@@ -176,21 +176,25 @@
 #[test]
 fn departures_are_held_during_and_after_an_outage() {
     let mut r = Readers::new(NameId(1));
-    r.answered(Time::from_millis(1_000));
-    assert_eq!(r.hold(Time::from_millis(1_500)), Duration::ZERO, "normal operation");
-    r.failed(true);
-    assert!(r.hold(Time::from_millis(5_000)) > Duration::from_secs(2), "away");
+    r.record_answer(Time::from_millis(1_000));
+    assert_eq!(r.departure_hold(Time::from_millis(1_500)), Duration::ZERO, "normal operation");
+    r.record_failure(true);
+    assert!(r.departure_hold(Time::from_millis(5_000)) > Duration::from_secs(2), "away");
     assert!(!r.in_touch(Time::from_millis(5_000)));
-    r.answered(Time::from_millis(6_000));
-    let remaining = r.hold(Time::from_millis(6_500));
+    r.record_answer(Time::from_millis(6_000));
+    let remaining = r.departure_hold(Time::from_millis(6_500));
     assert!(
         remaining > Duration::from_secs(1) && remaining < Duration::from_millis(2_000),
         "{remaining:?}"
     );
     for t in 0..10 {
-        r.answered(Time::from_millis(6_500 + t * 500));
+        r.record_answer(Time::from_millis(6_500 + t * 500));
     }
-    assert_eq!(r.hold(Time::from_millis(11_000)), Duration::ZERO, "normal operation again");
+    assert_eq!(
+        r.departure_hold(Time::from_millis(11_000)),
+        Duration::ZERO,
+        "normal operation again"
+    );
 }
 
 #[test]
@@ -198,14 +202,14 @@
     let mut r = Readers::new(NameId(1));
     let at = Time::from_millis;
     let receive = |r: &mut Readers, age, unable, ms| {
-        r.heard(NameId(2), &beacon(Duration::from_millis(age), unable), at(ms));
+        r.record_beacon(NameId(2), &beacon(Duration::from_millis(age), unable), at(ms));
     };
     receive(&mut r, 0, false, 1_000);
     receive(&mut r, 2_000, false, 3_000);
     receive(&mut r, 3_600_000, true, 5_000);
-    assert!(r.hold(at(5_100)) > Duration::from_secs(2), "away");
+    assert!(r.departure_hold(at(5_100)) > Duration::from_secs(2), "away");
     receive(&mut r, 0, false, 5_500);
-    assert!(r.hold(at(5_600)) > Duration::from_secs(2), "the platform has just returned");
+    assert!(r.departure_hold(at(5_600)) > Duration::from_secs(2), "the platform has just returned");
 }
 
 /// Every box held an unannounced departure for 2.3 s. All readers had failed shortly
@@ -217,11 +221,11 @@
 fn silence_of_all_readers_is_not_an_outage(#[case] first_age_ms: u64) {
     let mut r = Readers::new(NameId(1));
     let at = Time::from_millis;
-    r.heard(NameId(2), &beacon(Duration::ZERO, false), at(1_000));
-    assert_eq!(r.hold(at(5_000)), Duration::ZERO, "no reader reported an outage");
-    r.heard(NameId(3), &beacon(Duration::from_millis(first_age_ms), false), at(6_000));
-    r.heard(NameId(3), &beacon(Duration::ZERO, false), at(6_050));
-    assert_eq!(r.hold(at(6_100)), Duration::ZERO, "a new reader reports answers");
+    r.record_beacon(NameId(2), &beacon(Duration::ZERO, false), at(1_000));
+    assert_eq!(r.departure_hold(at(5_000)), Duration::ZERO, "no reader reported an outage");
+    r.record_beacon(NameId(3), &beacon(Duration::from_millis(first_age_ms), false), at(6_000));
+    r.record_beacon(NameId(3), &beacon(Duration::ZERO, false), at(6_050));
+    assert_eq!(r.departure_hold(at(6_100)), Duration::ZERO, "a new reader reports answers");
 }
 
 #[rstest]
