--- a/crates/honeypulley_mesh/src/admin.rs
+++ b/crates/honeypulley_mesh/src/admin.rs
@@ -14,7 +14,7 @@
         if self.in_force.load().is_none() {
             return Err("no routing table is in force yet".to_owned());
         }
-        if !self.listed.load(Ordering::Relaxed) {
+        if !self.list_known.load(Ordering::Relaxed) {
             return Err("the list of upstreams is not known yet".to_owned());
         }
         Ok(())
@@ -63,7 +63,7 @@
             u8::from(self.catch_up().is_behind(beacon.list)),
             u8::from(beacon.reader),
             beacon.read_age.as_millis(),
-            self.news_in.dropped() + self.news_out.dropped(),
+            self.updates_in.dropped() + self.updates_out.dropped(),
             self.invalid_entries(),
         )
     }
--- a/crates/honeypulley_mesh/src/decoder.rs
+++ b/crates/honeypulley_mesh/src/decoder.rs
@@ -10,15 +10,15 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoreKeys {
     /// Key of the routing table.
-    pub table: String,
+    pub table_key: String,
     /// Watched prefix under which the routing table is stored.
-    pub tables: String,
+    pub table_prefix: String,
     /// Prefix of the upstreams' entries.
-    pub upstreams: String,
+    pub upstream_prefix: String,
     /// Prefix of the records of the fleet's boxes.
-    pub boxes: String,
+    pub box_prefix: String,
     /// Key of the record of held requests.
-    pub held: String,
+    pub held_key: String,
 }
 
 /// Error returned when an object of the platform can't be decoded.
--- a/crates/honeypulley_mesh/src/epoch.rs
+++ b/crates/honeypulley_mesh/src/epoch.rs
@@ -33,7 +33,7 @@
     /// Waits for an epoch higher than `epoch` and returns it.
     pub async fn epoch_after(&self, epoch: u64) -> u64 {
         loop {
-            let restored = self.restored.notified();
+            let restored = self.restore_wakeup.notified();
             let now = self.epoch();
             if now > epoch {
                 return now;
@@ -49,7 +49,7 @@
     }
 
     /// Records an epoch received from the platform or a peer.
-    pub fn learn_epoch(&self, epoch: u64, from: &str) {
+    pub fn observe_epoch(&self, epoch: u64, from: &str) {
         if epoch <= self.epoch() {
             return;
         }
@@ -60,7 +60,7 @@
         }
         let list = self.list_status().version;
         // Nothing was read yet, so nothing is out of date.
-        if list.is_zero() && self.table_number() == 0 {
+        if list.is_zero() && self.table_version() == 0 {
             log::info!(epoch, from; "store: the platform's epoch is {epoch}");
             self.epoch.newest.store(epoch, Ordering::Release);
             return;
@@ -72,23 +72,23 @@
         self.epoch.newest.store(epoch, Ordering::Release);
         drop(guard);
         log::warn!(
-            before, epoch, list:display, table = self.table_number(), from;
+            before, epoch, list:display, table = self.table_version(), from;
             "store: restored from a backup, epoch {before} became {epoch}; rereading table, list and holds"
         );
-        self.restored.notify_waiters();
-        self.asking.notify_one();
-        self.telling.notify_one();
+        self.restore_wakeup.notify_waiters();
+        self.query_wakeup.notify_one();
+        self.broadcast_wakeup.notify_one();
     }
 }
 
 /// Wraps a platform client and reports the epoch of each answer to the box.
 #[derive(Debug)]
-pub struct EpochWatch {
+pub struct EpochTracker {
     inner: Arc<dyn Platform>,
     mesh: Arc<Mesh>,
 }
 
-impl EpochWatch {
+impl EpochTracker {
     /// Wraps a platform client.
     #[must_use]
     pub const fn new(inner: Arc<dyn Platform>, mesh: Arc<Mesh>) -> Self {
@@ -97,7 +97,7 @@
 
     /// Records the platform's epoch after a call, whether or not it succeeded.
     fn record_epoch<T>(&self, answer: T) -> T {
-        self.mesh.learn_epoch(self.inner.epoch(), "platform");
+        self.mesh.observe_epoch(self.inner.epoch(), "platform");
         answer
     }
 
@@ -117,7 +117,7 @@
 }
 
 #[async_trait]
-impl Platform for EpochWatch {
+impl Platform for EpochTracker {
     async fn get(&self, key: &str) -> Result<Option<Object>, PlatformError> {
         let found = self.record_epoch(self.inner.get(key).await)?;
         self.check_epoch("read", found.as_ref().map(|o| o.version.epoch))?;
--- a/crates/honeypulley_mesh/src/held.rs
+++ b/crates/honeypulley_mesh/src/held.rs
@@ -82,7 +82,7 @@
 
     /// Reads the stored holds and applies them.
     async fn read_held(&self) -> Result<StoredHolds, PlatformError> {
-        let key = &self.mesh.decoder.keys().held;
+        let key = &self.mesh.decoder.keys().held_key;
         let Some(object) = self.platform.get(key).await? else {
             let epoch = self.mesh.epoch();
             return Ok(StoredHolds { epoch, version: None, held: BTreeSet::new() });
@@ -114,7 +114,7 @@
             serde_json::to_vec(&record).expect("a record of plain data is serializable"),
         );
         let expect = stored.version.map_or(Expect::Absent, Expect::Version);
-        let key = &self.mesh.decoder.keys().held;
+        let key = &self.mesh.decoder.keys().held_key;
         let version = self.platform.put(key, value, expect).await?;
         log::info!(version:display = version, held = held.len(); "quarantine: stored {} holds", held.len());
         Ok(StoredHolds { version: Some(version), held, ..stored })
--- a/crates/honeypulley_mesh/src/join.rs
+++ b/crates/honeypulley_mesh/src/join.rs
@@ -44,9 +44,9 @@
     /// Reads the routing table until this box has one.
     async fn load_table(&self) {
         let (mut wait, mut fresh) = (MIN_BACKOFF, Freshness::Stale);
-        while self.mesh.table_number() == 0 {
+        while self.mesh.table_version() == 0 {
             match self.read_table(fresh).await {
-                Ok(_) if self.mesh.table_number() > 0 => {}
+                Ok(_) if self.mesh.table_version() > 0 => {}
                 // The operator may not have written a table yet, or the stale read predates it.
                 Ok(_) => {
                     self.mesh.startup.mark_unavailable();
@@ -64,9 +64,9 @@
     /// Waits for a table from a peer, or until the platform has to be read again.
     async fn wait_for_table(&self) {
         loop {
-            let _ = tokio::time::timeout(TABLE_RETRY, self.mesh.table_reached(1)).await;
+            let _ = tokio::time::timeout(TABLE_RETRY, self.mesh.wait_for_table(1)).await;
             let has_readers = !self.mesh.readers().live(self.mesh.now()).is_empty();
-            if self.mesh.table_number() > 0 || !has_readers {
+            if self.mesh.table_version() > 0 || !has_readers {
                 return;
             }
         }
@@ -95,7 +95,7 @@
             back_off(&mut wait).await;
         };
         let registered = self.mesh.now();
-        self.mesh.greeting.notify_one();
+        self.mesh.hello_wakeup.notify_one();
         tokio::join!(self.read_boxes_again(), self.preserve_record(epoch, registered));
     }
 
@@ -104,7 +104,8 @@
         if self.mesh.settings.first_start {
             let delay = fastrand::u64(SECOND_READ_DELAY_MS.0..SECOND_READ_DELAY_MS.1);
             tokio::time::sleep(Duration::from_millis(delay)).await;
-            let boxes = self.platform.list(&self.mesh.decoder.keys().boxes, Freshness::Stale).await;
+            let boxes =
+                self.platform.list(&self.mesh.decoder.keys().box_prefix, Freshness::Stale).await;
             match boxes {
                 Ok(all) => self.mesh.add_records(&all),
                 Err(e) => log::info!("join: {e}"),
@@ -134,13 +135,13 @@
     /// Returns the key and value of this box's record.
     fn own_record(&self) -> (String, BoxRecord) {
         let settings = &self.mesh.settings;
-        let key = format!("{}{}", self.mesh.decoder.keys().boxes, settings.name);
+        let key = format!("{}{}", self.mesh.decoder.keys().box_prefix, settings.name);
         (key, BoxRecord { peer: settings.peer, hall: settings.hall.clone() })
     }
 
     /// Registers this box with the platform and returns the epoch of its record.
     async fn try_register(&self) -> Result<u64, PlatformError> {
-        let prefix = &self.mesh.decoder.keys().boxes;
+        let prefix = &self.mesh.decoder.keys().box_prefix;
         let (key, record) = self.own_record();
         let all = self.platform.list(prefix, Freshness::Stale).await?;
         self.mesh.add_records(&all);
@@ -148,7 +149,7 @@
         let epoch = if stored.is_some_and(|o| record.matches(&o.value)) {
             all.version.epoch
         } else {
-            self.mesh.unknown.store(true, Ordering::Relaxed);
+            self.mesh.unannounced.store(true, Ordering::Relaxed);
             self.write_record(&key, &record).await?
         };
         let boxes = self.mesh.address_book().count();
@@ -192,7 +193,7 @@
 impl Mesh {
     /// Adds the stored addresses of boxes to the address book.
     fn add_records(&self, all: &Changes) {
-        let prefix = &self.decoder.keys().boxes;
+        let prefix = &self.decoder.keys().box_prefix;
         for o in &all.objects {
             let name = o.key.strip_prefix(prefix.as_str()).unwrap_or(&o.key);
             match serde_json::from_slice::<BoxRecord>(&o.value) {
--- a/crates/honeypulley_mesh/src/lib.rs
+++ b/crates/honeypulley_mesh/src/lib.rs
@@ -32,7 +32,7 @@
 pub mod prelude {
     pub use crate::{
         decoder::{Decoder, StoreKeys},
-        epoch::EpochWatch,
+        epoch::EpochTracker,
         peers::PeerDuty,
         serving::{Announcer, Pump, TableRoutes},
         state::{Mesh, MeshSettings},
--- a/crates/honeypulley_mesh/src/lists.rs
+++ b/crates/honeypulley_mesh/src/lists.rs
@@ -111,15 +111,15 @@
         lists.enqueue(changes, from);
         lists.broadcasts.push(PendingBroadcast { since, upto, entries });
         drop(lists);
-        self.serving.notify_one();
-        self.telling.notify_one();
+        self.serve_wakeup.notify_one();
+        self.broadcast_wakeup.notify_one();
     }
 
     /// Applies list changes, or one fragment of them, received from a peer.
     pub fn apply_peer_changes(&self, sender: NameId, t: ListUpdate, from: SocketAddr) {
         let now = self.now();
         let upto = t.upto;
-        self.learn_epoch(upto.epoch, "a peer");
+        self.observe_epoch(upto.epoch, "a peer");
         let hold = self.readers().departure_hold(now);
         let mut lists = self.lists.lock();
         let is_complete = lists.reassembler.add(sender, &t);
@@ -133,7 +133,7 @@
         lists.enqueue(changes, &from.to_string());
         drop(lists);
         if has_changed {
-            self.serving.notify_one();
+            self.serve_wakeup.notify_one();
         }
         self.record_list_version(upto, sender, from);
     }
@@ -150,7 +150,7 @@
         let held = self.lists.lock().list.version();
         if self.catch_up().record_announcement(version, held, origin, via, self.now()) {
             log::info!(peer:display = via, version:display, held:display; "list: version {version} is missed");
-            self.asking.notify_one();
+            self.query_wakeup.notify_one();
         }
     }
 
@@ -196,7 +196,7 @@
 
     /// Replaces the list by the full list of `version`.
     pub fn replace(&self, version: Revision, entries: Vec<Entry>, from: &str) {
-        self.learn_epoch(version.epoch, from);
+        self.observe_epoch(version.epoch, from);
         let hold = self.readers().departure_hold(self.now());
         let n = entries.len();
         let mut lists = self.lists.lock();
@@ -204,16 +204,16 @@
         log::info!(from, version:display, entries = n, hold_ms = hold.as_millis() as u64; "list: taken whole");
         lists.enqueue(changes, from);
         drop(lists);
-        if !self.listed.swap(true, Ordering::AcqRel) {
-            self.greeting.notify_one();
+        if !self.list_known.swap(true, Ordering::AcqRel) {
+            self.hello_wakeup.notify_one();
         }
-        self.serving.notify_one();
-        self.telling.notify_one();
+        self.serve_wakeup.notify_one();
+        self.broadcast_wakeup.notify_one();
     }
 
     /// Decodes the platform's changes into entries.
     fn decode_entries(&self, c: &Changes, hold: Duration) -> Vec<Entry> {
-        let prefix = &self.decoder.keys().upstreams;
+        let prefix = &self.decoder.keys().upstream_prefix;
         let name = |key: &str| key.strip_prefix(prefix.as_str()).unwrap_or(key).to_owned();
         // An object of another writer may not describe an upstream. It is broadcast as a
         // removed entry, so that every box is complete up to the object's version.
@@ -251,7 +251,7 @@
         }
         lists.enqueue(changes, "its hold ran out");
         drop(lists);
-        self.serving.notify_one();
+        self.serve_wakeup.notify_one();
     }
 
     /// Returns the changes that are yet to be broadcast, and clears them.
--- a/crates/honeypulley_mesh/src/peers.rs
+++ b/crates/honeypulley_mesh/src/peers.rs
@@ -129,14 +129,14 @@
                 let is_new = self.mesh.add_address(sender.clone());
                 self.handle_hello(sender, is_new, wants_book);
                 if wants_beliefs {
-                    self.mesh.asked.push(from);
+                    self.mesh.belief_requests.push(from);
                 }
             }
             Body::Book(boxes) => self.handle_book(boxes),
-            Body::Beacon(b) => self.mesh.take_beacon(d.sender, from, b),
+            Body::Beacon(b) => self.mesh.apply_beacon(d.sender, from, b),
             Body::News { seq, items } => {
                 if self.seen.borrow_mut().is_new(d.sender, seq) {
-                    items.into_iter().for_each(|n| self.mesh.news_in.push((d.sender, n)));
+                    items.into_iter().for_each(|n| self.mesh.updates_in.push((d.sender, n)));
                 }
             }
             Body::Requests { seq, items } => {
@@ -186,7 +186,7 @@
 
 impl PeerView for View {
     fn table_reached(&self, number: u64) -> LocalBoxFuture<'_, ()> {
-        Box::pin(self.0.table_reached(number))
+        Box::pin(self.0.wait_for_table(number))
     }
 
     fn table(&self) -> Held<Bytes> {
--- a/crates/honeypulley_mesh/src/peers/greet.rs
+++ b/crates/honeypulley_mesh/src/peers/greet.rs
@@ -35,14 +35,14 @@
     /// Introduces this box to peers that may not know it, and requests their beliefs.
     pub(super) async fn introduce_self(&self) {
         if !self.mesh.settings.first_start {
-            let _ = tokio::time::timeout(LISTING_WAIT, self.mesh.greeting.notified()).await;
+            let _ = tokio::time::timeout(LISTING_WAIT, self.mesh.hello_wakeup.notified()).await;
         }
         let mut has_requested = self.mesh.settings.first_start;
         loop {
             self.queries_sent.set(0);
             if self.mesh.address_book().count() == 1 {
                 self.announce_self(self.mesh.seeds());
-            } else if self.mesh.unknown.swap(false, Ordering::Relaxed) {
+            } else if self.mesh.unannounced.swap(false, Ordering::Relaxed) {
                 let mut to = self.mesh.seeds();
                 // In a first start, the seeds suffice: they hear from every box, and few
                 // other boxes are known yet.
@@ -52,12 +52,13 @@
                 self.announce_self(to);
             }
             // Beliefs about upstreams that are not in the list yet would be dropped.
-            let ready = self.mesh.listed.load(Ordering::Relaxed) && self.mesh.table_number() > 0;
+            let ready =
+                self.mesh.list_known.load(Ordering::Relaxed) && self.mesh.table_version() > 0;
             if !has_requested && ready && self.mesh.address_book().count() > 1 {
                 has_requested = true;
                 self.request_beliefs();
             }
-            let _ = tokio::time::timeout(HELLO_INTERVAL, self.mesh.greeting.notified()).await;
+            let _ = tokio::time::timeout(HELLO_INTERVAL, self.mesh.hello_wakeup.notified()).await;
         }
     }
 
@@ -136,7 +137,7 @@
     /// Sends this box's beliefs about upstreams to the boxes that requested them.
     pub(super) async fn send_beliefs(&self) {
         loop {
-            let (to, beliefs) = self.mesh.beliefs.recv().await;
+            let (to, beliefs) = self.mesh.belief_replies.recv().await;
             for part in beliefs.chunks(MAX_ITEMS) {
                 let body = self.number_news(part.to_vec());
                 self.send_to(&[to], body);
--- a/crates/honeypulley_mesh/src/peers/pull.rs
+++ b/crates/honeypulley_mesh/src/peers/pull.rs
@@ -2,7 +2,7 @@
 
 use super::Node;
 use crate::catch_up::{Actions, LocalList, Progress};
-use crate::state::MissedTable;
+use crate::state::PendingTable;
 use crate::store::fetch_table;
 use crate::tree;
 use honeypulley_peer::client::{PeerClient, PeerError};
@@ -43,7 +43,7 @@
     pub(super) async fn catch_up(self: &Rc<Self>) {
         loop {
             let wait = self.catch_up_once();
-            let _ = tokio::time::timeout(wait, self.mesh.asking.notified()).await;
+            let _ = tokio::time::timeout(wait, self.mesh.query_wakeup.notified()).await;
         }
     }
 
@@ -75,7 +75,7 @@
         }
         let boxes = self.mesh.address_book().count() as f64;
         if actions.read && fastrand::f64() < CONCURRENT_READS / boxes {
-            self.mesh.rereading.notify_one();
+            self.mesh.reread_wakeup.notify_one();
         }
     }
 
@@ -141,7 +141,7 @@
                 pull_with_timeout("list", from, PULL_TIMEOUT, node.pull_list_from(from)).await;
             node.pulls.set(node.pulls.get() - 1);
             if is_pulled {
-                node.mesh.asking.notify_one();
+                node.mesh.query_wakeup.notify_one();
             }
         });
     }
@@ -158,10 +158,10 @@
     /// Pulls announced tables that this box lacks.
     pub(super) async fn pull_tables(&self) {
         loop {
-            self.mesh.pulling.notified().await;
-            while let Some(missed) = self.mesh.missed_table() {
-                self.pull_table(missed).await;
-                if self.mesh.missed_table().is_some() {
+            self.mesh.pull_wakeup.notified().await;
+            while let Some(pending) = self.mesh.pending_table() {
+                self.pull_table(pending).await;
+                if self.mesh.pending_table().is_some() {
                     tokio::time::sleep(RETRY_DELAY.mul_f64(0.5 + fastrand::f64())).await;
                 }
             }
@@ -171,42 +171,42 @@
     /// Pulls a newer table from this box's parent in the distribution tree.
     ///
     /// If that fails, fetches it from the platform or from the box that announced it.
-    async fn pull_table(&self, missed: MissedTable) {
+    async fn pull_table(&self, pending: PendingTable) {
         if self.mesh.readers().is_reading() {
             // This box's own watch will deliver the table.
-            let _ = tokio::time::timeout(WATCH_LAG, self.mesh.table_reached(missed.number)).await;
+            let _ = tokio::time::timeout(WATCH_LAG, self.mesh.wait_for_table(pending.number)).await;
         }
-        if self.mesh.table_number() >= missed.number {
+        if self.mesh.table_version() >= pending.number {
             return;
         }
         let now = self.mesh.now();
         let hall_peers = self.mesh.address_book().hall_peers(now);
-        let parent = tree::parent(self.mesh.id, &hall_peers, missed.number);
-        let from = self.address(parent.unwrap_or(missed.origin)).unwrap_or(missed.via);
-        self.try_pull_table(from, missed.number, TREE_TIMEOUT).await;
-        if self.mesh.table_number() < missed.number {
-            self.fetch_table(missed).await;
+        let parent = tree::parent(self.mesh.id, &hall_peers, pending.number);
+        let from = self.address(parent.unwrap_or(pending.origin)).unwrap_or(pending.announcer);
+        self.try_pull_table(from, pending.number, TREE_TIMEOUT).await;
+        if self.mesh.table_version() < pending.number {
+            self.fetch_table(pending).await;
         }
     }
 
     /// Fetches a newer table from the platform, or from the peer that announced it.
-    async fn fetch_table(&self, missed: MissedTable) {
+    async fn fetch_table(&self, pending: PendingTable) {
         let wait = fastrand::u64(..=FETCH_JITTER_MS);
         tokio::time::sleep(Duration::from_millis(wait)).await;
         let fetched =
             tokio::time::timeout(FETCH_TIMEOUT, fetch_table(&self.mesh, self.platform.as_ref()));
         match fetched.await {
-            Ok(Ok(Some(o))) => self.mesh.take_table(&o, "platform"),
+            Ok(Ok(Some(o))) => self.mesh.apply_table(&o, "platform"),
             Ok(Ok(None)) => log::warn!("table: the platform has none"),
             Ok(Err(e)) => log::info!("table: not read from the platform: {e}"),
             Err(_) => log::info!("table: not read from the platform: no answer in time"),
         }
         // The reader has the table; the forwarder of its announcement may lack it too.
-        for from in [self.address(missed.origin), Some(missed.via)].into_iter().flatten() {
-            if self.mesh.table_number() >= missed.number {
+        for from in [self.address(pending.origin), Some(pending.announcer)].into_iter().flatten() {
+            if self.mesh.table_version() >= pending.number {
                 return;
             }
-            self.try_pull_table(from, missed.number, PULL_TIMEOUT).await;
+            self.try_pull_table(from, pending.number, PULL_TIMEOUT).await;
         }
     }
 
@@ -224,8 +224,8 @@
         let peer = PeerClient::connect(from, &self.mesh.settings.key).await?;
         let Held { version, value } = peer.table(number, wait).await?;
         if !version.is_zero() {
-            let key = self.mesh.decoder.keys().table.clone();
-            self.mesh.take_table(&Object { key, value, version }, &from.to_string());
+            let key = self.mesh.decoder.keys().table_key.clone();
+            self.mesh.apply_table(&Object { key, value, version }, &from.to_string());
         }
         Ok(())
     }
--- a/crates/honeypulley_mesh/src/peers/tell.rs
+++ b/crates/honeypulley_mesh/src/peers/tell.rs
@@ -49,7 +49,8 @@
             // A new table or epoch, or a change of this box's role or ability to read, triggers
             // a beacon at once; other wake-ups do not.
             loop {
-                let woken = tokio::time::timeout_at(deadline, self.mesh.telling.notified()).await;
+                let woken =
+                    tokio::time::timeout_at(deadline, self.mesh.broadcast_wakeup.notified()).await;
                 let b = self.mesh.beacon();
                 let is_able = b.read_age < MAX_READ_AGE;
                 let is_changed = b.table > table || b.epoch > epoch || is_able != was_able;
@@ -102,7 +103,7 @@
 
     /// Broadcasts this box's observations of upstreams.
     pub(super) async fn broadcast_news(&self) {
-        let news = &self.mesh.news_out;
+        let news = &self.mesh.updates_out;
         let mut pacer = Pacer::default();
         loop {
             let mut batch: Vec<News> = self.next_news(&pacer).await.into_iter().collect();
@@ -162,7 +163,7 @@
 
     /// Awaits an observation; returns `None` when paced observations are due first.
     async fn next_news(&self, pacer: &Pacer) -> Option<News> {
-        let next = self.mesh.news_out.recv();
+        let next = self.mesh.updates_out.recv();
         let Some(due) = pacer.due(self.mesh.address_book().hall_addresses().count()) else {
             return Some(next.await);
         };
--- a/crates/honeypulley_mesh/src/serving.rs
+++ b/crates/honeypulley_mesh/src/serving.rs
@@ -55,7 +55,7 @@
     fn announce(&mut self) {
         // Admissions come first, so that one is sent with the attempt that follows it.
         let news = self.limits.take_news().into_iter().chain(self.balancer.take_news());
-        news.for_each(|n| self.mesh.news_out.push(n));
+        news.for_each(|n| self.mesh.updates_out.push(n));
     }
 
     /// Admits one request of an organisation, if its fleet-wide limit allows it.
@@ -208,7 +208,7 @@
         let Some(service) = policy.balancer().service(name) else {
             return Err(not_ready(format!("service {name} is not set up on this box yet")));
         };
-        self.mesh.share(policy.balancer(), now);
+        self.mesh.update_fleet_scope(policy.balancer(), now);
         policy.balancer().arrived(service, now);
         if let Some(o) = &organisation
             && let Err(wait) = policy.admit(o.id, now)
@@ -335,15 +335,15 @@
         loop {
             self.apply_updates();
             tokio::select! {
-                () = self.mesh.serving.notified() => {}
-                (from, news) = self.mesh.news_in.recv() => self.apply_news(from, news),
-                requester = self.mesh.asked.recv() => {
+                () = self.mesh.serve_wakeup.notified() => {}
+                (from, news) = self.mesh.updates_in.recv() => self.apply_news(from, news),
+                requester = self.mesh.belief_requests.recv() => {
                     let now = self.mesh.now();
                     let mut policy = self.policy.lock();
                     let mut replies = policy.balancer().spendings(now);
                     replies.extend(policy.balancer().beliefs(now));
                     drop(policy);
-                    self.mesh.beliefs.push((requester, replies));
+                    self.mesh.belief_replies.push((requester, replies));
                 }
             }
         }
@@ -369,7 +369,7 @@
             if let Some(doubt) = policy.balancer().heard(from, news, now) {
                 self.doubts.lock().log(from, &doubt, now);
             }
-            next = self.mesh.news_in.pop();
+            next = self.mesh.updates_in.pop();
         }
         policy.prepare_limit_reports(now);
         policy.announce();
@@ -390,7 +390,7 @@
             log::info!(version = table.version; "table: version {} is in force", table.version);
             self.mesh.in_force.store(Some(table));
         }
-        let listed = self.mesh.listed.load(Ordering::Acquire);
+        let listed = self.mesh.list_known.load(Ordering::Acquire);
         for change in self.mesh.take_list_changes() {
             match change {
                 ListChange::Set(l) => policy.balancer().set_upstream(l, now),
--- a/crates/honeypulley_mesh/src/state.rs
+++ b/crates/honeypulley_mesh/src/state.rs
@@ -119,39 +119,39 @@
     /// Routing table in force; set by the serving thread.
     pub in_force: ArcSwapOption<RouteTable>,
     /// News of this box, to be sent to the other boxes.
-    pub news_out: Ring<News>,
+    pub updates_out: Ring<News>,
     /// News received from other boxes, for the serving thread.
-    pub news_in: Ring<(NameId, News)>,
+    pub updates_in: Ring<(NameId, News)>,
     /// News of requests during which upstreams failed, to be sent to the other boxes.
     pub requests_out: Ring<RequestNews>,
     /// Boxes that have just started and request this box's beliefs about upstreams.
-    pub asked: Ring<SocketAddr>,
+    pub belief_requests: Ring<SocketAddr>,
     /// Replies to those requests, each with the address of the requesting box.
-    pub beliefs: Ring<(SocketAddr, Vec<News>)>,
+    pub belief_replies: Ring<(SocketAddr, Vec<News>)>,
     /// Wakes the serving thread after a change of the table or the list.
-    pub serving: Notify,
+    pub serve_wakeup: Notify,
     /// Wakes the peer duty to broadcast news.
-    pub telling: Notify,
+    pub broadcast_wakeup: Notify,
     /// Wakes the peer duty to pull a missing routing table.
-    pub pulling: Notify,
+    pub pull_wakeup: Notify,
     /// Wakes the peer duty to request missing changes of the list.
-    pub asking: Notify,
+    pub query_wakeup: Notify,
     /// Wakes the store duty to reread the list, since no peer has sent the changes.
-    pub rereading: Notify,
+    pub reread_wakeup: Notify,
     /// Wakes the peer duty when other boxes were found in the store.
-    pub greeting: Notify,
+    pub hello_wakeup: Notify,
     /// Wakes the store duty when this box becomes or ceases to be a reader.
     pub reader_changed: Notify,
     /// Wakes tasks that must reread the platform after a restore.
-    pub restored: Notify,
+    pub restore_wakeup: Notify,
     /// Wakes tasks that wait for a newer routing table.
     pub table_received: Notify,
     /// Progress of this box's startup.
     pub startup: Startup,
     /// Set once the list of upstreams has been received.
-    pub listed: AtomicBool,
+    pub list_known: AtomicBool,
     /// Set while the other boxes may not know this box's address.
-    pub unknown: AtomicBool,
+    pub unannounced: AtomicBool,
     /// Set during a planned shutdown.
     pub leaving: Arc<AtomicBool>,
     seeds: Mutex<Vec<SocketAddr>>,
@@ -161,7 +161,7 @@
     readers: Mutex<Readers>,
     table: Mutex<HeldTable>,
     next_table: Mutex<Option<Arc<RouteTable>>>,
-    missed: Mutex<Option<MissedTable>>,
+    pending_table: Mutex<Option<PendingTable>>,
     catch_up: Mutex<CatchUp>,
     pub(crate) quarantine: Mutex<Quarantine>,
     /// Number of entries read that describe no upstream.
@@ -171,13 +171,13 @@
 
 /// A routing table that was announced to this box and not received yet.
 #[derive(Clone, Copy, Debug)]
-pub struct MissedTable {
+pub struct PendingTable {
     /// Number of the table.
     pub number: u64,
     /// Reader that first announced it.
     pub origin: NameId,
     /// Address of the box whose datagram announced it; it may be a forwarder.
-    pub via: SocketAddr,
+    pub announcer: SocketAddr,
 }
 
 impl Mesh {
@@ -196,23 +196,23 @@
             clock,
             decoder,
             in_force: ArcSwapOption::empty(),
-            news_out: Ring::new(4_096, OverflowPolicy::DropOldest),
-            news_in: Ring::new(16_384, OverflowPolicy::DropOldest),
+            updates_out: Ring::new(4_096, OverflowPolicy::DropOldest),
+            updates_in: Ring::new(16_384, OverflowPolicy::DropOldest),
             requests_out: Ring::new(1_024, OverflowPolicy::DropOldest),
-            asked: Ring::new(BELIEF_QUEUE_SIZE, OverflowPolicy::DropOldest),
-            beliefs: Ring::new(BELIEF_QUEUE_SIZE, OverflowPolicy::DropOldest),
-            serving: Notify::new(),
-            telling: Notify::new(),
-            pulling: Notify::new(),
-            asking: Notify::new(),
-            rereading: Notify::new(),
-            greeting: Notify::new(),
+            belief_requests: Ring::new(BELIEF_QUEUE_SIZE, OverflowPolicy::DropOldest),
+            belief_replies: Ring::new(BELIEF_QUEUE_SIZE, OverflowPolicy::DropOldest),
+            serve_wakeup: Notify::new(),
+            broadcast_wakeup: Notify::new(),
+            pull_wakeup: Notify::new(),
+            query_wakeup: Notify::new(),
+            reread_wakeup: Notify::new(),
+            hello_wakeup: Notify::new(),
             reader_changed: Notify::new(),
-            restored: Notify::new(),
+            restore_wakeup: Notify::new(),
             table_received: Notify::new(),
             startup: Startup::default(),
-            listed: AtomicBool::new(false),
-            unknown: AtomicBool::new(settings.first_start),
+            list_known: AtomicBool::new(false),
+            unannounced: AtomicBool::new(settings.first_start),
             leaving,
             seeds: Mutex::new(settings.seeds.clone()),
             registry: Registry::default(),
@@ -222,7 +222,7 @@
             readers: Mutex::new(Readers::new(id).with_slow_link(is_slow)),
             table: Mutex::new(HeldTable::default()),
             next_table: Mutex::new(None),
-            missed: Mutex::new(None),
+            pending_table: Mutex::new(None),
             quarantine: Mutex::default(),
             invalid_entries: AtomicU64::new(0),
             epoch: Epoch::default(),
@@ -270,7 +270,7 @@
     }
 
     /// Updates a balancer's view of the boxes that share its fleet-wide counts.
-    pub fn share(&self, balancer: &mut Balancer, now: Time) {
+    pub fn update_fleet_scope(&self, balancer: &mut Balancer, now: Time) {
         let book = self.book.lock();
         balancer.set_reach(Reach { boxes: book.count(), in_touch: book.has_reachable_peer(now) });
         balancer.set_halls(book.hall_sizes(), book.is_isolated(now));
@@ -312,7 +312,7 @@
     ///
     /// A box never reverts to a table of a lower number. Store revisions are not compared, since
     /// an older table may be written again at a newer revision.
-    pub fn take_table(&self, o: &Object, from: &str) {
+    pub fn apply_table(&self, o: &Object, from: &str) {
         {
             let held = self.table.lock();
             if o.version == held.revision && held.number > 0 {
@@ -337,8 +337,8 @@
         log::info!(version = number, object:display = o.version, routes, from; "table: version {number} received");
         *self.next_table.lock() = Some(Arc::new(table));
         self.table_received.notify_waiters();
-        self.serving.notify_one();
-        self.telling.notify_one();
+        self.serve_wakeup.notify_one();
+        self.broadcast_wakeup.notify_one();
     }
 
     /// Takes the routing table that the serving thread is to put in force.
@@ -348,18 +348,19 @@
     }
 
     /// Processes a peer's beacon: its role as reader, and versions that this box lacks.
-    pub fn take_beacon(&self, id: NameId, via: SocketAddr, b: Beacon) {
+    pub fn apply_beacon(&self, id: NameId, via: SocketAddr, b: Beacon) {
         let now = self.now();
         let epoch = b.epoch.max(b.list.epoch);
-        self.learn_epoch(epoch, "a peer");
+        self.observe_epoch(epoch, "a peer");
         if epoch < self.epoch() {
             self.readers.lock().remove_reader(id);
         } else {
             self.readers.lock().record_beacon(id, &b, now);
         }
         if b.table > self.table.lock().number {
-            *self.missed.lock() = Some(MissedTable { number: b.table, origin: id, via });
-            self.pulling.notify_one();
+            *self.pending_table.lock() =
+                Some(PendingTable { number: b.table, origin: id, announcer: via });
+            self.pull_wakeup.notify_one();
         }
         self.check_stale_list(&b);
         self.lists.lock().list.confirm(b.list, now.before(b.list_age));
@@ -368,11 +369,11 @@
 
     /// Returns the announced routing table that this box still lacks.
     #[must_use]
-    pub fn missed_table(&self) -> Option<MissedTable> {
-        let mut missed = self.missed.lock();
+    pub fn pending_table(&self) -> Option<PendingTable> {
+        let mut pending = self.pending_table.lock();
         let number = self.table.lock().number;
-        *missed = missed.filter(|m| m.number > number);
-        *missed
+        *pending = pending.filter(|m| m.number > number);
+        *pending
     }
 
     /// Locks the catch-up state; the guard must be held only briefly.
@@ -381,12 +382,12 @@
     }
 
     /// Waits until this box holds a routing table of at least this number.
-    pub async fn table_reached(&self, number: u64) {
+    pub async fn wait_for_table(&self, number: u64) {
         loop {
             let mut received = pin!(self.table_received.notified());
             // Registers before the check, so that a table received in between wakes this task.
             received.as_mut().enable();
-            if self.table_number() >= number {
+            if self.table_version() >= number {
                 return;
             }
             received.await;
@@ -402,7 +403,7 @@
 
     /// Returns the number of the held routing table, or zero if there is none.
     #[must_use]
-    pub fn table_number(&self) -> u64 {
+    pub fn table_version(&self) -> u64 {
         self.table.lock().number
     }
 }
--- a/crates/honeypulley_mesh/src/store.rs
+++ b/crates/honeypulley_mesh/src/store.rs
@@ -61,10 +61,10 @@
     pub(crate) async fn read_table(&self, f: Freshness) -> Result<Revision, PlatformError> {
         let keys = self.mesh.decoder.keys();
         // A list, not a get: it returns the store's revision as well as the table's own.
-        let all = self.platform.list(&keys.tables, f).await;
+        let all = self.platform.list(&keys.table_prefix, f).await;
         let all = self.record_result("table", f, all)?;
-        if let Some(o) = all.objects.iter().find(|o| o.key == keys.table) {
-            self.mesh.take_table(o, "platform");
+        if let Some(o) = all.objects.iter().find(|o| o.key == keys.table_key) {
+            self.mesh.apply_table(o, "platform");
         }
         Ok(all.version)
     }
@@ -73,7 +73,7 @@
     ///
     /// A stale read returns [`Revision::ZERO`], so that no watch starts from it.
     pub(crate) async fn read_list(&self, f: Freshness) -> Result<Revision, PlatformError> {
-        let prefix = &self.mesh.decoder.keys().upstreams;
+        let prefix = &self.mesh.decoder.keys().upstream_prefix;
         let all = self.platform.list(prefix, f).await;
         let all = self.record_result("list", f, all)?;
         if f == Freshness::Stale {
@@ -108,7 +108,7 @@
                 let word = if reading { "starts" } else { "stops" };
                 log::info!(reading; "readers: this box {word} reading the platform");
                 self.mesh.reader_changed.notify_waiters();
-                self.mesh.telling.notify_one();
+                self.mesh.broadcast_wakeup.notify_one();
             }
             let gap = self.mesh.readers().decide_interval(self.mesh.now());
             let gap = fastrand::u64(gap.0..gap.1);
@@ -132,7 +132,7 @@
         let mut cursor = WatchCursor::default();
         loop {
             self.wait_until_reader().await;
-            let restored = self.mesh.restored.notified();
+            let restored = self.mesh.restore_wakeup.notified();
             let Some(since) = cursor.position(self.mesh.epoch()) else {
                 match self.read_table(Freshness::Latest).await {
                     Ok(version) => cursor.reset(version),
@@ -141,14 +141,14 @@
                 continue;
             };
             let keys = self.mesh.decoder.keys();
-            let watch = self.platform.watch(&keys.tables, since, WATCH_TIMEOUT);
+            let watch = self.platform.watch(&keys.table_prefix, since, WATCH_TIMEOUT);
             let Some(got) = until_restored(restored, watch).await else { continue };
             match self.record_result("watch of tables", Freshness::Latest, got) {
                 Ok(c) => {
                     cursor.advance(c.version);
-                    let newest = c.objects.iter().filter(|o| o.key == keys.table);
+                    let newest = c.objects.iter().filter(|o| o.key == keys.table_key);
                     if let Some(o) = newest.max_by_key(|o| o.version) {
-                        self.mesh.take_table(o, "platform");
+                        self.mesh.apply_table(o, "platform");
                     }
                 }
                 Err(e) => cursor.handle_error(&e).await,
@@ -164,7 +164,7 @@
                 cursor.invalidate();
             }
             self.wait_until_reader().await;
-            let restored = self.mesh.restored.notified();
+            let restored = self.mesh.restore_wakeup.notified();
             let Some(since) = cursor.position(self.mesh.epoch()) else {
                 match self.read_list(Freshness::Latest).await {
                     Ok(version) => cursor.reset(version),
@@ -172,7 +172,7 @@
                 }
                 continue;
             };
-            let prefix = &self.mesh.decoder.keys().upstreams;
+            let prefix = &self.mesh.decoder.keys().upstream_prefix;
             let watch = self.platform.watch(prefix, since, WATCH_TIMEOUT);
             let Some(got) = until_restored(restored, watch).await else { continue };
             match self.record_result("watch of upstreams", Freshness::Latest, got) {
@@ -199,13 +199,13 @@
     /// Rereads the list from the platform when no peer could supply the missing changes.
     async fn reread_list(&self) {
         loop {
-            self.mesh.rereading.notified().await;
+            self.mesh.reread_wakeup.notified().await;
             log::warn!(
                 "list: rereading it from the platform, no peer has supplied the missing changes"
             );
             // A failure is recorded and logged by `read_list`; the peers are asked again below.
             let _ = self.read_list(Freshness::Latest).await;
-            self.mesh.asking.notify_one();
+            self.mesh.query_wakeup.notify_one();
         }
     }
 
@@ -247,7 +247,7 @@
                 let timed_out = matches!(e, PlatformError::Unknown { .. });
                 if self.mesh.readers().record_failure(timed_out) {
                     log::warn!("readers: the platform no longer responds to this box");
-                    self.mesh.telling.notify_one();
+                    self.mesh.broadcast_wakeup.notify_one();
                 }
             }
         }
@@ -322,7 +322,7 @@
 /// # Errors
 /// Returns any error of the platform.
 pub async fn fetch_table(mesh: &Mesh, p: &dyn Platform) -> Result<Option<Object>, PlatformError> {
-    p.get(&mesh.decoder.keys().table).await
+    p.get(&mesh.decoder.keys().table_key).await
 }
 
 /// Sleeps for `wait` with 50 % jitter, then doubles it up to [`MAX_BACKOFF`].
--- a/crates/honeypulley_mesh/tests/boxes/departures.rs
+++ b/crates/honeypulley_mesh/tests/boxes/departures.rs
@@ -122,15 +122,15 @@
     other.know(&forwarder, forwarder.addr);
     other.know(&reader, reader.addr);
     for b in [&reader, &forwarder, &other] {
-        b.mesh.take_table(&table("3", 5), "the test");
+        b.mesh.apply_table(&table("3", 5), "the test");
     }
     reader.read();
-    reader.mesh.take_table(&table("4", 20), "the test");
+    reader.mesh.apply_table(&table("4", 20), "the test");
     let start = Instant::now();
-    while other.mesh.table_number() < 4 && start.elapsed() < PROPAGATION_LIMIT {
+    while other.mesh.table_version() < 4 && start.elapsed() < PROPAGATION_LIMIT {
         std::thread::sleep(Duration::from_millis(10));
     }
-    assert_eq!(other.mesh.table_number(), 4);
+    assert_eq!(other.mesh.table_version(), 4);
 }
 
 /// Half of the boxes, including readers, had been isolated. One that reconnected broadcast
@@ -155,7 +155,7 @@
 #[test]
 fn a_version_known_only_to_a_lost_box_is_reached_by_reading_the_platform() {
     let (lost, b) = (TestBox::start("a", "hall-a"), TestBox::start("b", "hall-a"));
-    b.mesh.take_beacon(lost.mesh.id, lost.addr, reader_beacon(12));
+    b.mesh.apply_beacon(lost.mesh.id, lost.addr, reader_beacon(12));
     assert!(b.mesh.catch_up().is_behind(b.mesh.list_status().version));
     let objects = (0..10).map(|i| entry(&format!("u{i}"), "live", i + 1)).collect();
     b.mesh.apply_full_list(&Changes { version: at(30), objects, removed: Vec::new() }, "the test");
--- a/crates/honeypulley_mesh/tests/boxes/join.rs
+++ b/crates/honeypulley_mesh/tests/boxes/join.rs
@@ -86,7 +86,7 @@
     }
 
     fn wait_joined(&self) {
-        wait_until("the box has joined", || self.mesh.table_number() > 0 && self.mesh.has_list());
+        wait_until("the box has joined", || self.mesh.table_version() > 0 && self.mesh.has_list());
         // The box's record is written last.
         std::thread::sleep(Duration::from_millis(100));
     }
@@ -169,7 +169,7 @@
     std::thread::sleep(Duration::from_millis(900));
     assert!(p.count("stale") <= 3, "{:?}", p.calls.lock());
     write(&p, "t/main", "1");
-    wait_until("the table has arrived", || b.mesh.table_number() == 1);
+    wait_until("the table has arrived", || b.mesh.table_version() == 1);
 }
 
 /// Guards against a hello from each box to every other, 85,000 datagrams at a start of 293 boxes.
@@ -204,8 +204,8 @@
         boxes.iter().filter(|o| o.addr != b.addr).for_each(|o| b.know(o, o.addr));
     }
     boxes[0].read();
-    boxes[0].mesh.take_table(&table("5", 31), "the test");
-    wait_until("all boxes have the table", || boxes.iter().all(|b| b.mesh.table_number() == 5));
+    boxes[0].mesh.apply_table(&table("5", 31), "the test");
+    wait_until("all boxes have the table", || boxes.iter().all(|b| b.mesh.table_version() == 5));
     assert_eq!(p.count("get"), 0, "{:?}", p.calls.lock());
 }
 
@@ -227,7 +227,7 @@
     boxes.truncate(8);
     let began = Instant::now();
     boxes[0].read();
-    boxes[0].mesh.take_table(&table("5", 31), "the test");
-    wait_until("all boxes have the table", || boxes.iter().all(|b| b.mesh.table_number() == 5));
+    boxes[0].mesh.apply_table(&table("5", 31), "the test");
+    wait_until("all boxes have the table", || boxes.iter().all(|b| b.mesh.table_version() == 5));
     assert!(began.elapsed() < Duration::from_millis(1_500), "{:?}", began.elapsed());
 }
--- a/crates/honeypulley_mesh/tests/boxes/model.rs
+++ b/crates/honeypulley_mesh/tests/boxes/model.rs
@@ -85,7 +85,7 @@
 /// A simulated box and the state of its serving thread.
 struct SimBox {
     mesh: Arc<Mesh>,
-    platform: EpochWatch,
+    platform: EpochTracker,
     addr: SocketAddr,
     /// Positions of its watches of tables and of upstreams.
     cursors: [Option<Revision>; 2],
@@ -121,7 +121,7 @@
     let addr: SocketAddr = ([10, 0, 0, i as u8 + 1], 7_000).into();
     let settings = MeshSettings::builder().name(format!("box{i}")).hall("h").peer(addr).key(key());
     let mesh = mesh_with_clock(settings.build(), Clock::with_source(|| CLOCK.with(Cell::get)));
-    let platform = EpochWatch::new(Arc::<MemoryPlatform>::clone(memory), Arc::clone(&mesh));
+    let platform = EpochTracker::new(Arc::<MemoryPlatform>::clone(memory), Arc::clone(&mesh));
     let (cursors, serving, table) = ([None; 2], BTreeMap::new(), 0);
     SimBox { mesh, platform, addr, cursors, serving, table }
 }
@@ -215,7 +215,7 @@
     fn apply_tables(&mut self, i: usize, got: Result<Changes, PlatformError>) -> Option<Revision> {
         let changes = got.ok()?;
         for o in changes.objects {
-            self.boxes[i].mesh.take_table(&o, "platform");
+            self.boxes[i].mesh.apply_table(&o, "platform");
             self.sent.push((i, i, Message::Table(o)));
         }
         Some(changes.version)
@@ -251,9 +251,9 @@
         let mesh = &self.boxes[to].mesh;
         match m {
             Message::Changes(t) => mesh.apply_peer_changes(id, t.clone(), addr),
-            Message::Table(o) => mesh.take_table(o, "late"),
+            Message::Table(o) => mesh.apply_table(o, "late"),
             Message::List(all) => mesh.apply_full_list(all, "late"),
-            Message::Beacon(b) => mesh.take_beacon(id, addr, *b),
+            Message::Beacon(b) => mesh.apply_beacon(id, addr, *b),
         }
     }
 
@@ -340,7 +340,7 @@
     /// Applies pending changes to the serving threads, and checks the invariants.
     fn check_invariants(&mut self) {
         for b in &mut self.boxes {
-            let table = b.mesh.table_number();
+            let table = b.mesh.table_version();
             assert!(table >= b.table, "table {} was reverted to {table}", b.table);
             b.table = table;
             for change in b.mesh.take_list_changes() {
@@ -386,7 +386,7 @@
         world.converge(readers);
         let expected = world.expected();
         for b in &world.boxes {
-            prop_assert_eq!(b.mesh.table_number(), world.table);
+            prop_assert_eq!(b.mesh.table_version(), world.table);
             prop_assert_eq!(&b.serving, &expected, "{}", b.mesh.settings.name);
         }
         Ok(())
--- a/crates/honeypulley_mesh/tests/boxes/restore.rs
+++ b/crates/honeypulley_mesh/tests/boxes/restore.rs
@@ -42,7 +42,7 @@
         let addr: SocketAddr = "10.0.0.7:7000".parse().expect("the address is valid");
         let settings = MeshSettings::builder().name("box1").hall("hall-a").peer(addr).key(key());
         let mesh = mesh(settings.build());
-        let platform: Arc<dyn Platform> = Arc::new(EpochWatch::new(inner, Arc::clone(&mesh)));
+        let platform: Arc<dyn Platform> = Arc::new(EpochTracker::new(inner, Arc::clone(&mesh)));
         let shutdown = Shutdown::default();
         let supervisor =
             Supervisor::new(shutdown.clone()).duty(StoreDuty { mesh: Arc::clone(&mesh), platform });
@@ -132,12 +132,12 @@
         futures::executor::block_on(put).expect("there is no other writer");
     };
     ["2", "3", "4"].into_iter().for_each(write_table);
-    wait_until("table 4 is held", || r.mesh.table_number() == 4);
+    wait_until("table 4 is held", || r.mesh.table_version() == 4);
     r.memory.restore(backup);
     wait_until("the restore is noticed", || r.mesh.restores() == 1);
-    assert_eq!(r.mesh.table_number(), 4, "the restored table is older");
+    assert_eq!(r.mesh.table_version(), 4, "the restored table is older");
     ["3", "5"].into_iter().for_each(write_table);
-    wait_until("table 5 is held", || r.mesh.table_number() == 5);
+    wait_until("table 5 is held", || r.mesh.table_version() == 5);
 }
 
 /// A platform whose stale reads are from before a restore.
@@ -179,7 +179,7 @@
 #[test]
 fn a_box_that_starts_after_a_restore_uses_fresh_reads() {
     let r = Reader::start_on(Arc::new(StaleReadsPlatform(initial_platform())));
-    assert_eq!(r.mesh.table_number(), 1);
+    assert_eq!(r.mesh.table_version(), 1);
 }
 
 /// Starts a box with a list from a stale read.
@@ -194,7 +194,7 @@
             o
         })
         .collect();
-    b.mesh.learn_epoch(2, "the test");
+    b.mesh.observe_epoch(2, "the test");
     let version = Revision::new(2, 89);
     b.mesh.apply_stale_list(&Changes { version, objects, removed: Vec::new() }, "the test");
     b
@@ -208,7 +208,7 @@
     let b = start_with_stale_list();
     let via: SocketAddr = "10.0.0.7:7000".parse().expect("the address is valid");
     let list = Revision::new(2, number);
-    b.mesh.take_beacon(NameId(7), via, Beacon { list, restored: true, ..beacon(2) });
+    b.mesh.apply_beacon(NameId(7), via, Beacon { list, restored: true, ..beacon(2) });
     let gone = |i: u64| Entry {
         name: format!("u{i}"),
         version: Revision::new(2, 40 - i),
@@ -230,10 +230,10 @@
     let via: SocketAddr = "10.0.0.7:7000".parse().expect("the address is valid");
     let list = Revision::new(2, 95);
     let beacon = Beacon { list, restored: true, ..beacon(2) };
-    b.mesh.take_beacon(NameId(7), via, beacon);
+    b.mesh.apply_beacon(NameId(7), via, beacon);
     assert_eq!(b.mesh.list_status().version, Revision::new(2, 0));
     b.mesh.replace(list, Vec::new(), "a peer");
-    b.mesh.take_beacon(NameId(7), via, beacon);
+    b.mesh.apply_beacon(NameId(7), via, beacon);
     assert_eq!(b.mesh.list_status().version, list);
 }
 
@@ -268,11 +268,11 @@
 fn a_reader_unaware_of_the_restore_is_not_fresh() {
     let b = TestBox::start("a", "hall-a");
     let via: SocketAddr = "10.0.0.7:7000".parse().expect("the address is valid");
-    b.mesh.take_beacon(NameId(7), via, beacon(2));
+    b.mesh.apply_beacon(NameId(7), via, beacon(2));
     assert!(b.mesh.readers().in_touch(b.mesh.now()));
-    b.mesh.take_beacon(NameId(8), via, beacon(3));
+    b.mesh.apply_beacon(NameId(8), via, beacon(3));
     assert_eq!((b.mesh.epoch(), b.mesh.restores()), (3, 2));
-    b.mesh.take_beacon(NameId(7), via, beacon(2));
+    b.mesh.apply_beacon(NameId(7), via, beacon(2));
     assert_eq!(b.mesh.readers().live(b.mesh.now()), [NameId(8)]);
 }
 
@@ -280,12 +280,12 @@
 fn a_box_is_in_touch_again_once_a_reader_has_read_after_the_restore() {
     let b = TestBox::start("a", "hall-a");
     let via: SocketAddr = "10.0.0.7:7000".parse().expect("the address is valid");
-    b.mesh.take_beacon(NameId(7), via, beacon(1));
+    b.mesh.apply_beacon(NameId(7), via, beacon(1));
     assert!(b.mesh.readers().in_touch(b.mesh.now()));
     let unread = Beacon { read_age: Duration::from_secs(3_600), ..beacon(2) };
-    b.mesh.take_beacon(NameId(7), via, unread);
+    b.mesh.apply_beacon(NameId(7), via, unread);
     assert!(!b.mesh.readers().in_touch(b.mesh.now()), "no reader has read the restored platform");
-    b.mesh.take_beacon(NameId(7), via, beacon(2));
+    b.mesh.apply_beacon(NameId(7), via, beacon(2));
     assert!(b.mesh.readers().in_touch(b.mesh.now()));
 }
 
@@ -294,7 +294,7 @@
 fn a_version_lost_in_a_restore_is_not_awaited() {
     let b = TestBox::start("a", "hall-a");
     let via: SocketAddr = "10.0.0.7:7000".parse().expect("the address is valid");
-    b.mesh.take_beacon(NameId(7), via, Beacon { list: at(90), ..beacon(1) });
+    b.mesh.apply_beacon(NameId(7), via, Beacon { list: at(90), ..beacon(1) });
     assert!(b.mesh.catch_up().is_behind(b.mesh.list_status().version));
     let objects = (0..10).map(|i| entry(&format!("u{i}"), "live", i + 1));
     let objects = objects.map(|mut o| {
@@ -302,7 +302,7 @@
         o
     });
     let version = Revision::new(2, 40);
-    b.mesh.learn_epoch(2, "the test");
+    b.mesh.observe_epoch(2, "the test");
     b.mesh.apply_full_list(
         &Changes { version, objects: objects.collect(), removed: Vec::new() },
         "the test",
@@ -316,7 +316,7 @@
     let (reader, other) = (TestBox::start("a", "hall-a"), TestBox::start("b", "hall-a"));
     let _relay = Relay::start(&reader, &other, Connections::Refused, all(), all());
     reader.read();
-    reader.mesh.learn_epoch(2, "the test");
+    reader.mesh.observe_epoch(2, "the test");
     // The restored platform lists one upstream as leaving and lacks another.
     let mut objects = vec![entry("u0", "leaving", 3)];
     objects.extend((1..9).map(|i| entry(&format!("u{i}"), "live", i + 1)));
@@ -332,21 +332,21 @@
 #[test]
 fn a_rewritten_table_is_held_at_its_new_revision() {
     let b = TestBox::start("a", "hall-a");
-    b.mesh.take_table(&table("3", 5), "the test");
+    b.mesh.apply_table(&table("3", 5), "the test");
     let mut again = table("3", 2);
     again.version.epoch = 2;
-    b.mesh.take_table(&again, "the test");
-    assert_eq!((b.mesh.table_number(), b.mesh.table_snapshot().version), (3, again.version));
+    b.mesh.apply_table(&again, "the test");
+    assert_eq!((b.mesh.table_version(), b.mesh.table_snapshot().version), (3, again.version));
 }
 
 /// A table's number identifies its content, whatever the platform returns later.
 #[test]
 fn a_table_of_the_held_number_with_other_content_is_dropped() {
     let b = TestBox::start("a", "hall-a");
-    b.mesh.take_table(&table("3", 5), "the test");
+    b.mesh.apply_table(&table("3", 5), "the test");
     let held = b.mesh.table_snapshot();
     let mut other = table("+3", 9);
     other.version.epoch = 2;
-    b.mesh.take_table(&other, "the test");
+    b.mesh.apply_table(&other, "the test");
     assert_eq!(b.mesh.table_snapshot(), held);
 }
--- a/crates/honeypulley_mesh/tests/boxes/support.rs
+++ b/crates/honeypulley_mesh/tests/boxes/support.rs
@@ -116,11 +116,11 @@
 /// Builds the shared state of a box with a given clock.
 pub fn mesh_with_clock(settings: MeshSettings, clock: Clock) -> Arc<Mesh> {
     let keys = StoreKeys {
-        table: "t/main".to_owned(),
-        tables: "t/".to_owned(),
-        upstreams: UPSTREAMS.to_owned(),
-        boxes: "b/".to_owned(),
-        held: "h/requests".to_owned(),
+        table_key: "t/main".to_owned(),
+        table_prefix: "t/".to_owned(),
+        upstream_prefix: UPSTREAMS.to_owned(),
+        box_prefix: "b/".to_owned(),
+        held_key: "h/requests".to_owned(),
     };
     let leaving = Arc::new(AtomicBool::new(false));
     Arc::new(Mesh::new(settings, clock, Arc::new(TestDecoder(keys)), leaving))
