--- a/crates/honeypulley_mesh/src/lib.rs
+++ b/crates/honeypulley_mesh/src/lib.rs
@@ -34,7 +34,7 @@
         decoder::{Decoder, StoreKeys},
         epoch::EpochTracker,
         peers::PeerDuty,
-        serving::{Announcer, Pump, TableRoutes},
+        serving::{BalancerUpdater, BroadcastBalancer, TableRoutes},
         state::{Mesh, MeshSettings},
         store::StoreDuty,
     };
--- a/crates/honeypulley_mesh/src/pace.rs
+++ b/crates/honeypulley_mesh/src/pace.rs
@@ -20,7 +20,7 @@
 
 /// News waiting to be sent to the boxes of the data hall.
 #[derive(Debug, Default)]
-pub struct Pacer {
+pub struct UpdateBatcher {
     pending: Vec<Pending>,
 }
 
@@ -31,7 +31,7 @@
     at: Time,
 }
 
-impl Pacer {
+impl UpdateBatcher {
     /// Queues news that arose at `now`.
     pub fn add(&mut self, news: News, now: Time) {
         self.pending.push(Pending { news, at: now });
@@ -39,7 +39,7 @@
 
     /// Returns when the queued news is due in a hall of `boxes` other boxes.
     #[must_use]
-    pub fn due(&self, boxes: usize) -> Option<Time> {
+    pub fn deadline(&self, boxes: usize) -> Option<Time> {
         let first = self.pending.first()?;
         if self.pending.len() >= MAX_ITEMS || !self.pending.iter().all(|p| p.news.can_wait()) {
             return Some(first.at);
@@ -49,7 +49,7 @@
     }
 
     /// Removes one datagram's worth of news, oldest first, and sets the age of each end.
-    pub fn take(&mut self, now: Time) -> Vec<News> {
+    pub fn drain(&mut self, now: Time) -> Vec<News> {
         let count = self.pending.len().min(MAX_ITEMS);
         self.pending.drain(..count).map(|p| p.news.aged(now.since(p.at))).collect()
     }
--- a/crates/honeypulley_mesh/src/peers/tell.rs
+++ b/crates/honeypulley_mesh/src/peers/tell.rs
@@ -2,7 +2,7 @@
 
 use super::Node;
 use super::outbox::{OutgoingDatagram, Priority};
-use crate::pace::Pacer;
+use crate::pace::UpdateBatcher;
 use crate::readers::BEACON_INTERVAL;
 use bytes::Bytes;
 use honeypulley_peer::codec::{Body, Datagram, ListUpdate, MAX_ITEMS};
@@ -104,9 +104,9 @@
     /// Broadcasts this box's observations of upstreams.
     pub(super) async fn broadcast_news(&self) {
         let news = &self.mesh.updates_out;
-        let mut pacer = Pacer::default();
+        let mut batcher = UpdateBatcher::default();
         loop {
-            let mut batch: Vec<News> = self.next_news(&pacer).await.into_iter().collect();
+            let mut batch: Vec<News> = self.next_news(&batcher).await.into_iter().collect();
             while batch.len() < MAX_ITEMS
                 && let Some(n) = news.pop()
             {
@@ -119,10 +119,10 @@
                 let body = self.number_news(global);
                 self.broadcast(body, UPSTREAM_FORWARDERS);
             }
-            local.into_iter().for_each(|n| pacer.add(n, now));
+            local.into_iter().for_each(|n| batcher.add(n, now));
             let to: Vec<SocketAddr> = self.mesh.address_book().hall_addresses().collect();
-            if pacer.due(to.len()).is_some_and(|at| at <= now) {
-                let body = self.number_news(pacer.take(now));
+            if batcher.deadline(to.len()).is_some_and(|at| at <= now) {
+                let body = self.number_news(batcher.drain(now));
                 self.send_to(&to, body);
             }
         }
@@ -162,9 +162,9 @@
     }
 
     /// Awaits an observation; returns `None` when paced observations are due first.
-    async fn next_news(&self, pacer: &Pacer) -> Option<News> {
+    async fn next_news(&self, batcher: &UpdateBatcher) -> Option<News> {
         let next = self.mesh.updates_out.recv();
-        let Some(due) = pacer.due(self.mesh.address_book().hall_addresses().count()) else {
+        let Some(due) = batcher.deadline(self.mesh.address_book().hall_addresses().count()) else {
             return Some(next.await);
         };
         let left = due.since(self.mesh.now());
--- a/crates/honeypulley_mesh/src/serving.rs
+++ b/crates/honeypulley_mesh/src/serving.rs
@@ -28,13 +28,13 @@
 
 /// A balancer and the organisations' limits, whose news is queued for broadcast at once.
 #[derive(Debug)]
-pub struct Announcer {
+pub struct BroadcastBalancer {
     balancer: Balancer,
     limits: FleetLimits,
     mesh: Arc<Mesh>,
 }
 
-impl Announcer {
+impl BroadcastBalancer {
     /// Wraps a balancer and limits, whose news is sent to the other boxes of `mesh`.
     #[must_use]
     pub const fn new(balancer: Balancer, limits: FleetLimits, mesh: Arc<Mesh>) -> Self {
@@ -97,7 +97,7 @@
     }
 }
 
-impl Chooser for Announcer {
+impl Chooser for BroadcastBalancer {
     fn pick(&mut self, ask: &Ask, tried: &[UpstreamKey], now: Time) -> Result<Pick, Refusal> {
         let picked = self.balancer.pick(ask, tried, now);
         self.announce();
@@ -184,7 +184,7 @@
     /// Shared state of this box.
     pub mesh: Arc<Mesh>,
     /// Balancer and limits.
-    pub policy: Arc<Mutex<Announcer>>,
+    pub policy: Arc<Mutex<BroadcastBalancer>>,
 }
 
 impl Routes for TableRoutes {
@@ -320,17 +320,17 @@
 
 /// Applies tables, lists and news to the policy on the serving thread.
 #[derive(Debug)]
-pub struct Pump {
+pub struct BalancerUpdater {
     /// Shared state of this box.
     pub mesh: Arc<Mesh>,
     /// Balancer and limits.
-    pub policy: Arc<Mutex<Announcer>>,
+    pub policy: Arc<Mutex<BroadcastBalancer>>,
     /// Rate-limited log of the doubts that other boxes raise.
     pub doubts: Mutex<SuspicionLog>,
 }
 
 #[async_trait]
-impl Feeder for Pump {
+impl Feeder for BalancerUpdater {
     async fn feed(&self) {
         loop {
             self.apply_updates();
@@ -350,7 +350,7 @@
     }
 }
 
-impl Pump {
+impl BalancerUpdater {
     /// Applies a received piece of news and all news queued behind it.
     fn apply_news(&self, from: NameId, first: News) {
         let mut policy = self.policy.lock();
--- a/crates/honeypulley_mesh/tests/pace.rs
+++ b/crates/honeypulley_mesh/tests/pace.rs
@@ -1,6 +1,6 @@
 //! News of finished attempts is delayed to be batched with other news, for a bounded time.
 
-use honeypulley_mesh::pace::Pacer;
+use honeypulley_mesh::pace::UpdateBatcher;
 use honeypulley_policy::balance::News;
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::time::Time;
@@ -22,14 +22,14 @@
 
 #[test]
 fn a_start_is_sent_at_once_with_the_pending_ends() {
-    let mut pacer = Pacer::default();
+    let mut batcher = UpdateBatcher::default();
     let (first, next) = (Time::from_millis(100), Time::from_millis(140));
-    pacer.add(ended(0), first);
-    assert!(pacer.due(LARGE) > Some(next));
-    pacer.add(open(), next);
-    assert!(pacer.due(LARGE) <= Some(next));
-    assert_eq!(pacer.take(next), [ended(40), open()]);
-    assert_eq!(pacer.due(LARGE), None);
+    batcher.add(ended(0), first);
+    assert!(batcher.deadline(LARGE) > Some(next));
+    batcher.add(open(), next);
+    assert!(batcher.deadline(LARGE) <= Some(next));
+    assert_eq!(batcher.drain(next), [ended(40), open()]);
+    assert_eq!(batcher.deadline(LARGE), None);
 }
 
 /// In a small hall an end is sent nearly at once, and in any hall after a bounded delay.
@@ -38,9 +38,9 @@
 #[case::large(LARGE, 150)]
 #[case::huge(184, 150)]
 fn an_end_alone_is_sent_soon(#[case] boxes: usize, #[case] max_ms: u64) {
-    let mut pacer = Pacer::default();
-    pacer.add(ended(0), Time::from_millis(100));
-    let due = pacer.due(boxes).expect("news is pending");
+    let mut batcher = UpdateBatcher::default();
+    batcher.add(ended(0), Time::from_millis(100));
+    let due = batcher.deadline(boxes).expect("news is pending");
     assert!(due <= Time::from_millis(100 + max_ms), "{due:?}");
 }
 
@@ -49,7 +49,7 @@
 #[case::few_requests(4, 6)]
 #[case::many_requests(40, 40)]
 fn a_request_takes_fewer_than_two_datagrams(#[case] rate: u64, #[case] max_rate: usize) {
-    let mut pacer = Pacer::default();
+    let mut batcher = UpdateBatcher::default();
     let mut rng = fastrand::Rng::with_seed(1);
     let secs = 30;
     let mut events: Vec<(u64, News)> = Vec::new();
@@ -63,11 +63,11 @@
     let mut datagrams = 0;
     for now in 0..(secs + 1) * 1_000 {
         while let Some((at, news)) = events.next_if(|&(at, _)| at <= now) {
-            pacer.add(news, Time::from_millis(at));
+            batcher.add(news, Time::from_millis(at));
         }
         let now = Time::from_millis(now);
-        while pacer.due(LARGE).is_some_and(|at| at <= now) {
-            pacer.take(now);
+        while batcher.deadline(LARGE).is_some_and(|at| at <= now) {
+            batcher.drain(now);
             datagrams += 1;
         }
     }
