--- a/crates/honeypulley_mesh/tests/boxes/departures.rs
+++ b/crates/honeypulley_mesh/tests/boxes/departures.rs
@@ -13,7 +13,10 @@
 //! Each case here disables one path. The departure must arrive by another one within the time
 //! that a bound of two seconds leaves for propagation and repair.
 
-use crate::support::{Connections, Passes, Relay, TestBox, all, at, entry, nothing, said, table};
+use crate::support::{
+    Connections, DatagramFilter, Relay, TestBox, at, drop_all, pass_all, table_object, unwrap_body,
+    upstream_object,
+};
 use honeypulley_mesh::list::ListChange;
 use honeypulley_peer::codec::{Beacon, Body, ListUpdate};
 use honeypulley_peer::listing::{Entry, EntryState};
@@ -30,9 +33,9 @@
 }
 
 /// Passes all datagrams but the first `count` list updates.
-fn drop_changes(mut count: u32) -> Passes {
+fn drop_changes(mut count: u32) -> DatagramFilter {
     Box::new(move |_, body| {
-        let is_dropped = count > 0 && matches!(said(body), Body::Changes { .. });
+        let is_dropped = count > 0 && matches!(unwrap_body(body), Body::Changes { .. });
         count -= u32::from(is_dropped);
         !is_dropped
     })
@@ -40,7 +43,8 @@
 
 /// Makes a reader receive the shutdown of these upstreams from its watch.
 fn announce_leaving(b: &TestBox, names: &[String]) {
-    let objects = (11..).zip(names).map(|(version, n)| entry(n, "leaving", version)).collect();
+    let objects =
+        (11..).zip(names).map(|(version, n)| upstream_object(n, "leaving", version)).collect();
     b.mesh.apply_watched_changes(
         &Changes { version: at(30), objects, removed: Vec::new() },
         "the test",
@@ -49,8 +53,8 @@
 
 /// Makes a reader apply a full list in which the first upstream is leaving.
 fn apply_full_list(b: &TestBox) {
-    let all = (1..10).map(|i| entry(&format!("u{i}"), "live", i + 1));
-    let objects = all.chain([entry("u0", "leaving", 11)]).collect();
+    let all = (1..10).map(|i| upstream_object(&format!("u{i}"), "live", i + 1));
+    let objects = all.chain([upstream_object("u0", "leaving", 11)]).collect();
     b.mesh.apply_full_list(&Changes { version: at(30), objects, removed: Vec::new() }, "the test");
 }
 
@@ -81,19 +85,19 @@
     #[case] connections: Connections,
 ) {
     let (reader, other) = (TestBox::start("a", "hall-a"), TestBox::start("b", "hall-a"));
-    let _relay = Relay::start(&reader, &other, connections, drop_changes(lost), all());
-    reader.read();
+    let _relay = Relay::start(&reader, &other, connections, drop_changes(lost), pass_all());
+    reader.become_reader();
     announce_leaving(&reader, &names(leaving));
-    assert_eq!(other.until_left(&names(leaving), PROPAGATION_LIMIT), Vec::<String>::new());
+    assert_eq!(other.wait_for_departures(&names(leaving), PROPAGATION_LIMIT), Vec::<String>::new());
 }
 
 #[rstest]
 fn a_departure_found_in_a_full_list_is_broadcast() {
     let (reader, other) = (TestBox::start("a", "hall-a"), TestBox::start("b", "hall-a"));
-    let _relay = Relay::start(&reader, &other, Connections::Refused, all(), nothing());
-    reader.read();
+    let _relay = Relay::start(&reader, &other, Connections::Refused, pass_all(), drop_all());
+    reader.become_reader();
     apply_full_list(&reader);
-    assert_eq!(other.until_left(&names(1), PROPAGATION_LIMIT), Vec::<String>::new());
+    assert_eq!(other.wait_for_departures(&names(1), PROPAGATION_LIMIT), Vec::<String>::new());
 }
 
 #[rstest]
@@ -102,14 +106,15 @@
     let (forwarder, other) = (TestBox::start("d", "hall-b"), TestBox::start("b", "hall-b"));
     // The other box receives the reader's beacons through a forwarder in its data hall,
     // which can't obtain the announced changes from anyone else.
-    let drops_changes: Passes = Box::new(|_, body| !matches!(said(body), Body::Changes { .. }));
-    let _relay = Relay::start(&reader, &forwarder, Connections::Refused, drops_changes, nothing());
-    forwarder.know(&other, other.addr);
-    other.know(&forwarder, forwarder.addr);
-    other.know(&reader, reader.addr);
-    reader.read();
+    let drops_changes: DatagramFilter =
+        Box::new(|_, body| !matches!(unwrap_body(body), Body::Changes { .. }));
+    let _relay = Relay::start(&reader, &forwarder, Connections::Refused, drops_changes, drop_all());
+    forwarder.add_peer(&other, other.addr);
+    other.add_peer(&forwarder, forwarder.addr);
+    other.add_peer(&reader, reader.addr);
+    reader.become_reader();
     apply_full_list(&reader);
-    assert_eq!(other.until_left(&names(1), PROPAGATION_LIMIT), Vec::<String>::new());
+    assert_eq!(other.wait_for_departures(&names(1), PROPAGATION_LIMIT), Vec::<String>::new());
 }
 
 /// Tables, like lists, were once pulled from the forwarder of their announcement.
@@ -117,15 +122,15 @@
 fn a_missed_table_is_pulled_from_a_box_that_has_it() {
     let reader = TestBox::start("a", "hall-a");
     let (forwarder, other) = (TestBox::start("d", "hall-b"), TestBox::start("b", "hall-b"));
-    let _relay = Relay::start(&reader, &forwarder, Connections::Refused, all(), nothing());
-    forwarder.know(&other, other.addr);
-    other.know(&forwarder, forwarder.addr);
-    other.know(&reader, reader.addr);
+    let _relay = Relay::start(&reader, &forwarder, Connections::Refused, pass_all(), drop_all());
+    forwarder.add_peer(&other, other.addr);
+    other.add_peer(&forwarder, forwarder.addr);
+    other.add_peer(&reader, reader.addr);
     for b in [&reader, &forwarder, &other] {
-        b.mesh.apply_table(&table("3", 5), "the test");
+        b.mesh.apply_table(&table_object("3", 5), "the test");
     }
-    reader.read();
-    reader.mesh.apply_table(&table("4", 20), "the test");
+    reader.become_reader();
+    reader.mesh.apply_table(&table_object("4", 20), "the test");
     let start = Instant::now();
     while other.mesh.table_version() < 4 && start.elapsed() < PROPAGATION_LIMIT {
         std::thread::sleep(Duration::from_millis(10));
@@ -157,7 +162,7 @@
     let (lost, b) = (TestBox::start("a", "hall-a"), TestBox::start("b", "hall-a"));
     b.mesh.apply_beacon(lost.mesh.id, lost.addr, reader_beacon(12));
     assert!(b.mesh.catch_up().is_behind(b.mesh.list_status().version));
-    let objects = (0..10).map(|i| entry(&format!("u{i}"), "live", i + 1)).collect();
+    let objects = (0..10).map(|i| upstream_object(&format!("u{i}"), "live", i + 1)).collect();
     b.mesh.apply_full_list(&Changes { version: at(30), objects, removed: Vec::new() }, "the test");
     let held = b.mesh.list_status().version;
     assert!(!b.mesh.catch_up().is_behind(held), "the list at {held} includes all changes");
@@ -172,7 +177,7 @@
     let state = |v: u64| if v.is_multiple_of(2) { "live" } else { "leaving" };
     let changes = |v| Changes {
         version: at(v),
-        objects: vec![entry("u0", state(v), v)],
+        objects: vec![upstream_object("u0", state(v), v)],
         removed: Vec::new(),
     };
     let last_change = std::thread::scope(|s| {
@@ -193,5 +198,5 @@
     let last = b.mesh.take_list_changes().pop().or(last_change);
     let is_leaving =
         |c: &ListChange| matches!(c, ListChange::Set(l) if l.member.state == MemberState::Leaving);
-    assert_eq!(last.as_ref().is_some_and(is_leaving), b.knows_left("u0"), "{last:?}");
+    assert_eq!(last.as_ref().is_some_and(is_leaving), b.has_departed("u0"), "{last:?}");
 }
--- a/crates/honeypulley_mesh/tests/boxes/foreign.rs
+++ b/crates/honeypulley_mesh/tests/boxes/foreign.rs
@@ -1,6 +1,6 @@
 //! Objects of another writer among the entries of the upstreams.
 
-use crate::support::{TestBox, at, entry};
+use crate::support::{TestBox, at, upstream_object};
 use honeypulley_mesh::list::ListChange;
 use honeypulley_platform::api::{Changes, Object};
 use honeypulley_policy::spec::MemberState;
@@ -25,7 +25,7 @@
 fn an_overwritten_entry_removes_only_its_own_upstream() {
     let b = TestBox::start("box1", "hall-a");
     pending_changes(&b);
-    apply_watched(&b, vec![entry("u3", "{]", 11), entry("u4", "leaving", 12)]);
+    apply_watched(&b, vec![upstream_object("u3", "{]", 11), upstream_object("u4", "leaving", 12)]);
     let expected = [("u3".to_owned(), None), ("u4".to_owned(), Some(MemberState::Leaving))];
     assert_eq!(pending_changes(&b), BTreeMap::from(expected));
     assert_eq!(
@@ -38,16 +38,16 @@
 #[test]
 fn a_repaired_entry_restores_its_upstream() {
     let b = TestBox::start("box1", "hall-a");
-    apply_watched(&b, vec![entry("u3", "null", 11)]);
+    apply_watched(&b, vec![upstream_object("u3", "null", 11)]);
     pending_changes(&b);
-    apply_watched(&b, vec![entry("u3", "live", 12)]);
+    apply_watched(&b, vec![upstream_object("u3", "live", 12)]);
     assert_eq!(pending_changes(&b), BTreeMap::from([("u3".to_owned(), Some(MemberState::Live))]));
 }
 
 #[test]
 fn a_change_of_invalid_entries_advances_the_version() {
     let b = TestBox::start("box1", "hall-a");
-    apply_watched(&b, vec![entry("stranger", "", 11)]);
+    apply_watched(&b, vec![upstream_object("stranger", "", 11)]);
     assert_eq!(b.mesh.list_status().version, at(11));
     assert_eq!(pending_changes(&b).get("stranger"), Some(&None));
 }
@@ -57,9 +57,9 @@
     let b = TestBox::start("box1", "hall-a");
     pending_changes(&b);
     let mut objects: Vec<Object> =
-        (0..10).map(|i| entry(&format!("u{i}"), "live", i + 1)).collect();
-    objects[5] = entry("u5", "what is this", 20);
-    objects.push(entry("stranger", "1", 21));
+        (0..10).map(|i| upstream_object(&format!("u{i}"), "live", i + 1)).collect();
+    objects[5] = upstream_object("u5", "what is this", 20);
+    objects.push(upstream_object("stranger", "1", 21));
     b.mesh.apply_full_list(&Changes { version: at(21), objects, removed: Vec::new() }, "the test");
     let pending_changes = pending_changes(&b);
     assert_eq!(pending_changes.get("u5"), Some(&None));
@@ -70,6 +70,6 @@
 #[test]
 fn invalid_entries_are_counted() {
     let b = TestBox::start("box1", "hall-a");
-    apply_watched(&b, vec![entry("u3", "{]", 11), entry("stranger", "", 12)]);
+    apply_watched(&b, vec![upstream_object("u3", "{]", 11), upstream_object("stranger", "", 12)]);
     assert_eq!(b.mesh.invalid_entries(), 2);
 }
--- a/crates/honeypulley_mesh/tests/boxes/join.rs
+++ b/crates/honeypulley_mesh/tests/boxes/join.rs
@@ -1,7 +1,7 @@
 //! Startup of a box: it reads table and list from the platform with few calls, and becomes known
 //! to all other boxes without a datagram to each.
 
-use crate::support::{TestBox, key, mesh, table};
+use crate::support::{TestBox, key, mesh, table_object};
 use async_trait::async_trait;
 use bytes::Bytes;
 use honeypulley_mesh::prelude::*;
@@ -180,7 +180,7 @@
         .map(|i| TestBox::start(&format!("old{i}"), if i < 3 { "hall-a" } else { "hall-b" }))
         .collect();
     for b in &old {
-        old.iter().filter(|o| o.addr != b.addr).for_each(|o| b.know(o, o.addr));
+        old.iter().filter(|o| o.addr != b.addr).for_each(|o| b.add_peer(o, o.addr));
     }
     let new = TestBox::start_on("new", "hall-b", vec![old[0].addr], p);
     wait_until("all know the new box", || {
@@ -201,10 +201,10 @@
         })
         .collect();
     for b in &boxes {
-        boxes.iter().filter(|o| o.addr != b.addr).for_each(|o| b.know(o, o.addr));
+        boxes.iter().filter(|o| o.addr != b.addr).for_each(|o| b.add_peer(o, o.addr));
     }
-    boxes[0].read();
-    boxes[0].mesh.apply_table(&table("5", 31), "the test");
+    boxes[0].become_reader();
+    boxes[0].mesh.apply_table(&table_object("5", 31), "the test");
     wait_until("all boxes have the table", || boxes.iter().all(|b| b.mesh.table_version() == 5));
     assert_eq!(p.count("get"), 0, "{:?}", p.calls.lock());
 }
@@ -222,12 +222,12 @@
         })
         .collect();
     for b in &boxes {
-        boxes.iter().filter(|o| o.addr != b.addr).for_each(|o| b.know(o, o.addr));
+        boxes.iter().filter(|o| o.addr != b.addr).for_each(|o| b.add_peer(o, o.addr));
     }
     boxes.truncate(8);
     let began = Instant::now();
-    boxes[0].read();
-    boxes[0].mesh.apply_table(&table("5", 31), "the test");
+    boxes[0].become_reader();
+    boxes[0].mesh.apply_table(&table_object("5", 31), "the test");
     wait_until("all boxes have the table", || boxes.iter().all(|b| b.mesh.table_version() == 5));
     assert!(began.elapsed() < Duration::from_millis(1_500), "{:?}", began.elapsed());
 }
--- a/crates/honeypulley_mesh/tests/boxes/restore.rs
+++ b/crates/honeypulley_mesh/tests/boxes/restore.rs
@@ -1,6 +1,8 @@
 //! Behaviour of a box after its platform was restored from a backup.
 
-use crate::support::{Connections, Relay, TestBox, all, at, entry, key, mesh, table};
+use crate::support::{
+    Connections, Relay, TestBox, at, key, mesh, pass_all, table_object, upstream_object,
+};
 use async_trait::async_trait;
 use bytes::Bytes;
 use honeypulley_mesh::prelude::*;
@@ -189,7 +191,7 @@
     let b = TestBox::start_empty("a", "hall-a");
     let objects: Vec<Object> = (0..10)
         .map(|i| {
-            let mut o = entry(&format!("u{i}"), "live", 80 + i);
+            let mut o = upstream_object(&format!("u{i}"), "live", 80 + i);
             o.version.epoch = 2;
             o
         })
@@ -220,7 +222,7 @@
         b.mesh.apply_peer_changes(NameId(7), part, via);
     }
     assert_eq!(b.mesh.list_status().version, list);
-    assert!((0..3).all(|i| b.knows_left(&format!("u{i}"))));
+    assert!((0..3).all(|i| b.has_departed(&format!("u{i}"))));
 }
 
 /// Guards against a full read of the list for every beacon in the seconds after a restore.
@@ -241,11 +243,11 @@
 fn a_fresh_read_replaces_a_stale_list() {
     let b = start_with_stale_list();
     let version = Revision::new(2, 40);
-    let mut objects = vec![entry("u0", "leaving", 40)];
+    let mut objects = vec![upstream_object("u0", "leaving", 40)];
     objects[0].version.epoch = 2;
     b.mesh.apply_full_list(&Changes { version, objects, removed: Vec::new() }, "the test");
     assert_eq!(b.mesh.list_status().version, version);
-    assert!((0..10).all(|i| b.knows_left(&format!("u{i}"))));
+    assert!((0..10).all(|i| b.has_departed(&format!("u{i}"))));
 }
 
 /// Builds the beacon of a reader that knows the platform's `epoch`.
@@ -296,7 +298,7 @@
     let via: SocketAddr = "10.0.0.7:7000".parse().expect("the address is valid");
     b.mesh.apply_beacon(NameId(7), via, Beacon { list: at(90), ..beacon(1) });
     assert!(b.mesh.catch_up().is_behind(b.mesh.list_status().version));
-    let objects = (0..10).map(|i| entry(&format!("u{i}"), "live", i + 1));
+    let objects = (0..10).map(|i| upstream_object(&format!("u{i}"), "live", i + 1));
     let objects = objects.map(|mut o| {
         o.version.epoch = 2;
         o
@@ -314,26 +316,26 @@
 #[test]
 fn a_restored_list_reaches_the_peers_in_full() {
     let (reader, other) = (TestBox::start("a", "hall-a"), TestBox::start("b", "hall-a"));
-    let _relay = Relay::start(&reader, &other, Connections::Refused, all(), all());
-    reader.read();
+    let _relay = Relay::start(&reader, &other, Connections::Refused, pass_all(), pass_all());
+    reader.become_reader();
     reader.mesh.observe_epoch(2, "the test");
     // The restored platform lists one upstream as leaving and lacks another.
-    let mut objects = vec![entry("u0", "leaving", 3)];
-    objects.extend((1..9).map(|i| entry(&format!("u{i}"), "live", i + 1)));
+    let mut objects = vec![upstream_object("u0", "leaving", 3)];
+    objects.extend((1..9).map(|i| upstream_object(&format!("u{i}"), "live", i + 1)));
     objects.iter_mut().for_each(|o| o.version.epoch = 2);
     let version = Revision::new(2, 9);
     reader.mesh.apply_full_list(&Changes { version, objects, removed: Vec::new() }, "the test");
     wait_until("the other box has the list", || other.mesh.list_status().version.epoch == 2);
-    assert!(other.knows_left("u0"));
-    assert!(other.knows_left("u9"), "a lost entry does not count as live while it is on hold");
+    assert!(other.has_departed("u0"));
+    assert!(other.has_departed("u9"), "a lost entry does not count as live while it is on hold");
     assert_eq!(other.mesh.upstreams(), 10, "a lost upstream gets work until its hold expires");
 }
 
 #[test]
 fn a_rewritten_table_is_held_at_its_new_revision() {
     let b = TestBox::start("a", "hall-a");
-    b.mesh.apply_table(&table("3", 5), "the test");
-    let mut again = table("3", 2);
+    b.mesh.apply_table(&table_object("3", 5), "the test");
+    let mut again = table_object("3", 2);
     again.version.epoch = 2;
     b.mesh.apply_table(&again, "the test");
     assert_eq!((b.mesh.table_version(), b.mesh.table_snapshot().version), (3, again.version));
@@ -343,9 +345,9 @@
 #[test]
 fn a_table_of_the_held_number_with_other_content_is_dropped() {
     let b = TestBox::start("a", "hall-a");
-    b.mesh.apply_table(&table("3", 5), "the test");
+    b.mesh.apply_table(&table_object("3", 5), "the test");
     let held = b.mesh.table_snapshot();
-    let mut other = table("+3", 9);
+    let mut other = table_object("+3", 9);
     other.version.epoch = 2;
     b.mesh.apply_table(&other, "the test");
     assert_eq!(b.mesh.table_snapshot(), held);
--- a/crates/honeypulley_mesh/tests/boxes/support.rs
+++ b/crates/honeypulley_mesh/tests/boxes/support.rs
@@ -74,7 +74,7 @@
 }
 
 /// Returns an upstream's entry as the platform stores it.
-pub fn entry(name: &str, state: &'static str, version: u64) -> Object {
+pub fn upstream_object(name: &str, state: &'static str, version: u64) -> Object {
     Object {
         key: format!("{UPSTREAMS}{name}"),
         value: Bytes::from_static(state.as_bytes()),
@@ -83,7 +83,7 @@
 }
 
 /// Returns a routing table as the platform stores it.
-pub fn table(number: &'static str, version: u64) -> Object {
+pub fn table_object(number: &'static str, version: u64) -> Object {
     Object {
         key: "t/main".to_owned(),
         value: Bytes::from_static(number.as_bytes()),
@@ -149,7 +149,7 @@
         platform: Arc<dyn Platform>,
     ) -> Self {
         let b = Self::start_without_list(name, hall, seeds, platform);
-        let objects = (0..10).map(|i| entry(&format!("u{i}"), "live", i + 1)).collect();
+        let objects = (0..10).map(|i| upstream_object(&format!("u{i}"), "live", i + 1)).collect();
         b.mesh.apply_full_list(
             &Changes { version: at(10), objects, removed: Vec::new() },
             "the test",
@@ -182,7 +182,7 @@
     }
 
     /// Makes this box a reader that has just had an answer of the platform.
-    pub fn read(&self) {
+    pub fn become_reader(&self) {
         let now = self.mesh.now();
         self.mesh.readers().decide(1, 0.0, now);
         self.mesh.readers().record_answer(now);
@@ -190,12 +190,12 @@
     }
 
     /// Adds another box to this box's address book, at `addr`.
-    pub fn know(&self, other: &Self, addr: SocketAddr) {
+    pub fn add_peer(&self, other: &Self, addr: SocketAddr) {
         self.mesh.add_address(BoxAddress { id: other.mesh.id, addr, hall: other.hall.clone() });
     }
 
     /// Returns whether this box lists an upstream as gone or leaving, or not at all.
-    pub fn knows_left(&self, name: &str) -> bool {
+    pub fn has_departed(&self, name: &str) -> bool {
         let list = self.mesh.list_snapshot().value;
         let found = list.iter().find(|e| e.name == name);
         !found.is_some_and(
@@ -206,11 +206,11 @@
     /// Waits until this box knows that all these upstreams have left.
     ///
     /// Returns those of which it doesn't know `within` that time.
-    pub fn until_left(&self, names: &[String], within: Duration) -> Vec<String> {
+    pub fn wait_for_departures(&self, names: &[String], within: Duration) -> Vec<String> {
         let began = Instant::now();
         loop {
             let unknown: Vec<String> =
-                names.iter().filter(|n| !self.knows_left(n)).cloned().collect();
+                names.iter().filter(|n| !self.has_departed(n)).cloned().collect();
             if unknown.is_empty() || began.elapsed() > within {
                 return unknown;
             }
@@ -238,7 +238,7 @@
 }
 
 /// Filter of a relay; returns whether to forward a datagram of this sender and body.
-pub type Passes = Box<dyn FnMut(NameId, &Body) -> bool + Send>;
+pub type DatagramFilter = Box<dyn FnMut(NameId, &Body) -> bool + Send>;
 
 /// A relay between two boxes, each of which sees the other at the relay's address.
 ///
@@ -256,8 +256,8 @@
         first: &TestBox,
         second: &TestBox,
         connections: Connections,
-        to_second: Passes,
-        to_first: Passes,
+        to_second: DatagramFilter,
+        to_first: DatagramFilter,
     ) -> Self {
         let (listener, at_first, as_first) = bind();
         let at_second = UdpSocket::bind("127.0.0.1:0").expect("there is a free port");
@@ -266,8 +266,8 @@
         let (from_second, from_first) = (clone(&at_first), clone(&at_second));
         forward(from_first, at_first, second.addr, to_second);
         forward(from_second, at_second, first.addr, to_first);
-        second.know(first, as_first);
-        first.know(second, as_second);
+        second.add_peer(first, as_first);
+        first.add_peer(second, as_second);
         Self { _listener: listener }
     }
 }
@@ -277,7 +277,7 @@
 }
 
 /// Forwards the datagrams received on `from` to `to`, from the address of `by`.
-fn forward(from: UdpSocket, by: UdpSocket, to: SocketAddr, mut filter: Passes) {
+fn forward(from: UdpSocket, by: UdpSocket, to: SocketAddr, mut filter: DatagramFilter) {
     std::thread::spawn(move || {
         let mut buffer = [0; 2_000];
         while let Ok((n, _)) = from.recv_from(&mut buffer) {
@@ -290,17 +290,17 @@
 }
 
 /// Returns a filter that forwards every datagram.
-pub fn all() -> Passes {
+pub fn pass_all() -> DatagramFilter {
     Box::new(|_, _| true)
 }
 
 /// Returns a filter that drops every datagram.
-pub fn nothing() -> Passes {
+pub fn drop_all() -> DatagramFilter {
     Box::new(|_, _| false)
 }
 
 /// Returns the body of a datagram, or of the datagram that it asks to forward.
-pub fn said(body: &Body) -> Body {
+pub fn unwrap_body(body: &Body) -> Body {
     match body {
         Body::Forward(sealed) => Datagram::open(sealed, &key()).expect("a valid seal").body,
         other => other.clone(),
