--- a/crates/honeypulley_mesh/src/pace.rs
+++ b/crates/honeypulley_mesh/src/pace.rs
@@ -5,7 +5,7 @@
 //! request would be most of a box's control traffic.
 
 use honeypulley_peer::codec::MAX_ITEMS;
-use honeypulley_policy::balance::News;
+use honeypulley_policy::balance::Update;
 use honeypulley_policy::time::Time;
 use std::time::Duration;
 
@@ -27,13 +27,13 @@
 /// A piece of news with the time at which it was queued.
 #[derive(Debug)]
 struct Pending {
-    news: News,
+    news: Update,
     at: Time,
 }
 
 impl Pacer {
     /// Queues news that arose at `now`.
-    pub fn add(&mut self, news: News, now: Time) {
+    pub fn add(&mut self, news: Update, now: Time) {
         self.pending.push(Pending { news, at: now });
     }
 
@@ -41,7 +41,7 @@
     #[must_use]
     pub fn due(&self, boxes: usize) -> Option<Time> {
         let first = self.pending.first()?;
-        if self.pending.len() >= MAX_ITEMS || !self.pending.iter().all(|p| p.news.can_wait()) {
+        if self.pending.len() >= MAX_ITEMS || !self.pending.iter().all(|p| p.news.is_deferrable()) {
             return Some(first.at);
         }
         let delay = DELAY_PER_BOX.saturating_mul(boxes.try_into().unwrap_or(u32::MAX));
@@ -49,7 +49,7 @@
     }
 
     /// Removes one datagram's worth of news, oldest first, and sets the age of each end.
-    pub fn take(&mut self, now: Time) -> Vec<News> {
+    pub fn take(&mut self, now: Time) -> Vec<Update> {
         let count = self.pending.len().min(MAX_ITEMS);
         self.pending.drain(..count).map(|p| p.news.aged(now.since(p.at))).collect()
     }
--- a/crates/honeypulley_mesh/src/peers/tell.rs
+++ b/crates/honeypulley_mesh/src/peers/tell.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use honeypulley_peer::codec::{Body, Datagram, MAX_ITEMS, Told};
 use honeypulley_peer::requests::MAX_REQUESTS;
-use honeypulley_policy::balance::News;
+use honeypulley_policy::balance::Update;
 use honeypulley_policy::quarantine::{Hold, RequestNews};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -105,15 +105,15 @@
         let news = &self.mesh.news_out;
         let mut pacer = Pacer::default();
         loop {
-            let mut batch: Vec<News> = self.next_news(&pacer).await.into_iter().collect();
+            let mut batch: Vec<Update> = self.next_news(&pacer).await.into_iter().collect();
             while batch.len() < MAX_ITEMS
                 && let Some(n) = news.pop()
             {
                 batch.push(n);
             }
             let now = self.mesh.now();
-            let (local, global): (Vec<News>, Vec<News>) =
-                batch.into_iter().partition(News::is_for_hall);
+            let (local, global): (Vec<Update>, Vec<Update>) =
+                batch.into_iter().partition(Update::is_for_hall);
             if !global.is_empty() {
                 let body = self.number_news(global);
                 self.broadcast(body, UPSTREAM_FORWARDERS);
@@ -161,7 +161,7 @@
     }
 
     /// Awaits an observation; returns `None` when paced observations are due first.
-    async fn next_news(&self, pacer: &Pacer) -> Option<News> {
+    async fn next_news(&self, pacer: &Pacer) -> Option<Update> {
         let next = self.mesh.news_out.next();
         let Some(due) = pacer.due(self.mesh.book().hall_addresses().count()) else {
             return Some(next.await);
@@ -171,7 +171,7 @@
     }
 
     /// Wraps observations into a body with the next sequence number.
-    pub(super) fn number_news(&self, items: Vec<News>) -> Body {
+    pub(super) fn number_news(&self, items: Vec<Update>) -> Body {
         Body::News { seq: self.sequence.borrow_mut().next(), items }
     }
 
--- a/crates/honeypulley_mesh/src/serving.rs
+++ b/crates/honeypulley_mesh/src/serving.rs
@@ -5,7 +5,7 @@
 use crate::state::Mesh;
 use async_trait::async_trait;
 use futures::future::BoxFuture;
-use honeypulley_policy::balance::{Balancer, BudgetUse, News, Resend};
+use honeypulley_policy::balance::{Balancer, BudgetUse, Resend, Update};
 use honeypulley_policy::chooser::{Ask, Chooser, Inputs, Place};
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::fleet_limits::{FleetLimits, LimitUse};
@@ -75,12 +75,12 @@
     }
 
     /// Applies admissions that a peer or another data hall reported.
-    fn apply_limit_news(&mut self, from: NameId, news: News, now: Time) {
+    fn apply_limit_news(&mut self, from: NameId, news: Update, now: Time) {
         match news {
-            News::Admitted { subject, sum } => {
+            Update::Admitted { subject, sum } => {
                 self.limits.heard_box(from, subject, sum, now);
             }
-            News::HallAdmitted { subject, count } => {
+            Update::HallAdmitted { subject, count } => {
                 self.limits.heard_hall(from, subject, count, now);
             }
             _ => {}
@@ -352,16 +352,16 @@
 
 impl Pump {
     /// Applies a received piece of news and all news queued behind it.
-    fn apply_news(&self, from: NameId, first: News) {
+    fn apply_news(&self, from: NameId, first: Update) {
         let mut policy = self.policy.lock();
         let now = self.mesh.now();
         policy.set_scope(now);
         let mut next = Some((from, first));
         let mut beliefs = 0;
         while let Some((from, news)) = next {
-            beliefs += usize::from(matches!(news, News::Belief { .. }));
+            beliefs += usize::from(matches!(news, Update::Belief { .. }));
             policy.apply_limit_news(from, news, now);
-            if let News::Leaving { upstream } = news
+            if let Update::Leaving { upstream } = news
                 && let Some(upstream) = policy.balancer().learn_leaving(upstream)
             {
                 log::info!(upstream, from = from.0; "news: {upstream} announced its shutdown");
--- a/crates/honeypulley_mesh/src/state.rs
+++ b/crates/honeypulley_mesh/src/state.rs
@@ -15,7 +15,7 @@
 use honeypulley_peer::listing::BoxAddress;
 use honeypulley_peer::server::Held;
 use honeypulley_platform::api::Object;
-use honeypulley_policy::balance::{Balancer, News, Reach};
+use honeypulley_policy::balance::{Balancer, Reach, Update};
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::fleet_limits::Scope;
 use honeypulley_policy::quarantine::{Quarantine, RequestNews};
@@ -119,15 +119,15 @@
     /// Routing table in force; set by the serving thread.
     pub in_force: ArcSwapOption<RouteTable>,
     /// News of this box, to be sent to the other boxes.
-    pub news_out: Ring<News>,
+    pub news_out: Ring<Update>,
     /// News received from other boxes, for the serving thread.
-    pub news_in: Ring<(NameId, News)>,
+    pub news_in: Ring<(NameId, Update)>,
     /// News of requests during which upstreams failed, to be sent to the other boxes.
     pub requests_out: Ring<RequestNews>,
     /// Boxes that have just started and request this box's beliefs about upstreams.
     pub asked: Ring<SocketAddr>,
     /// Replies to those requests, each with the address of the requesting box.
-    pub beliefs: Ring<(SocketAddr, Vec<News>)>,
+    pub beliefs: Ring<(SocketAddr, Vec<Update>)>,
     /// Wakes the serving thread after a change of the table or the list.
     pub serving: Notify,
     /// Wakes the peer duty to broadcast news.
--- a/crates/honeypulley_mesh/tests/pace.rs
+++ b/crates/honeypulley_mesh/tests/pace.rs
@@ -1,7 +1,7 @@
 //! News of finished attempts is delayed to be batched with other news, for a bounded time.
 
 use honeypulley_mesh::pace::Pacer;
-use honeypulley_policy::balance::News;
+use honeypulley_policy::balance::Update;
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::time::Time;
 use rstest::rstest;
@@ -11,13 +11,13 @@
 /// Number of other boxes in a hall of the largest deployment.
 const LARGE: usize = 60;
 
-fn ended(ago: u64) -> News {
+fn ended(ago: u64) -> Update {
     let ago = Duration::from_millis(ago);
-    News::Ended { upstream: UPSTREAM, count: 0, served: true, far: None, ago }
+    Update::Ended { upstream: UPSTREAM, count: 0, served: true, far: None, ago }
 }
 
-fn open() -> News {
-    News::Open { upstream: UPSTREAM, count: 1 }
+fn open() -> Update {
+    Update::Open { upstream: UPSTREAM, count: 1 }
 }
 
 #[test]
@@ -52,7 +52,7 @@
     let mut pacer = Pacer::default();
     let mut rng = fastrand::Rng::with_seed(1);
     let secs = 30;
-    let mut events: Vec<(u64, News)> = Vec::new();
+    let mut events: Vec<(u64, Update)> = Vec::new();
     for _ in 0..rate * secs {
         let at = rng.u64(..secs * 1_000);
         events.push((at, open()));
--- a/crates/honeypulley_peer/src/codec.rs
+++ b/crates/honeypulley_peer/src/codec.rs
@@ -9,7 +9,7 @@
 use crate::requests::{read_requests, write_requests};
 use bytes::Bytes;
 use honeypulley_bundle::head::Version;
-use honeypulley_policy::balance::News;
+use honeypulley_policy::balance::Update;
 use honeypulley_policy::collector::{Judgement, NameId, Report, ReportItem, Verdict};
 use honeypulley_policy::quarantine::RequestNews;
 use honeypulley_policy::revision::Revision;
@@ -76,7 +76,7 @@
         /// Number of this news at its sender, since it may come by several ways.
         seq: u32,
         /// What was seen.
-        items: Vec<News>,
+        items: Vec<Update>,
     },
     /// A sealed datagram to be sent on to the receiver's data hall, as it is.
     Forward(Bytes),
--- a/crates/honeypulley_peer/src/listing.rs
+++ b/crates/honeypulley_peer/src/listing.rs
@@ -1,7 +1,7 @@
 //! Entries of the list of upstreams and news of boxes, as bytes.
 
 use crate::peer_capnp::datagram as wire;
-use honeypulley_policy::balance::{Listed, News};
+use honeypulley_policy::balance::{Listed, Update};
 use honeypulley_policy::belief::Observation;
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::fleet_limits::HallCount;
@@ -132,39 +132,39 @@
 
 pub(crate) fn write_news(
     mut list: capnp::struct_list::Builder<'_, wire::news_item::Owned>,
-    news: &[News],
+    news: &[Update],
 ) {
     for (i, n) in news.iter().enumerate() {
         let mut row = list.reborrow().get(i as u32);
         let (subject, kind, count) = match *n {
-            News::Seen { upstream, what } => (upstream, observation_kind(what), 0),
-            News::Open { upstream, count } => (upstream, wire::NewsKind::Open, count),
-            News::Ended { upstream, count, served, far, ago } => {
+            Update::Seen { upstream, what } => (upstream, observation_kind(what), 0),
+            Update::Open { upstream, count } => (upstream, wire::NewsKind::Open, count),
+            Update::Ended { upstream, count, served, far, ago } => {
                 row.set_served(served);
                 row.set_far(far.map_or(0, |n| n.saturating_add(1)));
                 row.set_ago_ms(u16::try_from(ago.as_millis()).unwrap_or(u16::MAX));
                 (upstream, wire::NewsKind::Ended, count)
             }
-            News::Well { upstream } => (upstream, wire::NewsKind::Well, 0),
-            News::Retry { service, seen, spent } => {
+            Update::Well { upstream } => (upstream, wire::NewsKind::Well, 0),
+            Update::Retry { service, seen, spent } => {
                 row.set_far(spent);
                 (service, wire::NewsKind::Retry, seen)
             }
-            News::Spent { service, sum } => (service, wire::NewsKind::Spent, sum),
-            News::Denied { service, seen, spent } => {
+            Update::Spent { service, sum } => (service, wire::NewsKind::Spent, sum),
+            Update::Denied { service, seen, spent } => {
                 row.set_far(spent);
                 (service, wire::NewsKind::Denied, seen)
             }
-            News::Belief { upstream, phases } => {
+            Update::Belief { upstream, phases } => {
                 (upstream, wire::NewsKind::Belief, u16::from_be_bytes(phases.map(parts)))
             }
-            News::Limit { upstream, rate } => {
+            Update::Limit { upstream, rate } => {
                 row.set_rate(rate.unwrap_or(0.0));
                 (upstream, wire::NewsKind::Limit, 0)
             }
-            News::Leaving { upstream } => (upstream, wire::NewsKind::Leaving, 0),
-            News::Admitted { subject, sum } => (subject, wire::NewsKind::Admitted, sum),
-            News::HallAdmitted { subject, count } => {
+            Update::Leaving { upstream } => (upstream, wire::NewsKind::Leaving, 0),
+            Update::Admitted { subject, sum } => (subject, wire::NewsKind::Admitted, sum),
+            Update::HallAdmitted { subject, count } => {
                 row.set_hall(count.hall.0);
                 row.set_latest(count.latest);
                 row.set_level(count.level);
@@ -179,10 +179,10 @@
 
 pub(crate) fn read_news(
     list: capnp::struct_list::Reader<'_, wire::news_item::Owned>,
-) -> Result<Vec<News>, capnp::Error> {
+) -> Result<Vec<Update>, capnp::Error> {
     let read = |r: wire::news_item::Reader<'_>| {
         let id = NameId(r.get_subject());
-        let seen = |what| News::Seen { upstream: id, what };
+        let seen = |what| Update::Seen { upstream: id, what };
         Ok(match r.get_kind()? {
             wire::NewsKind::Success => seen(Observation::Success),
             wire::NewsKind::Failure => seen(Observation::Failure),
@@ -192,31 +192,31 @@
             wire::NewsKind::Overdue => seen(Observation::Overdue),
             wire::NewsKind::Shed => seen(Observation::Shed),
             wire::NewsKind::Hung => seen(Observation::Hung),
-            wire::NewsKind::Open => News::Open { upstream: id, count: r.get_count() },
-            wire::NewsKind::Ended => News::Ended {
+            wire::NewsKind::Open => Update::Open { upstream: id, count: r.get_count() },
+            wire::NewsKind::Ended => Update::Ended {
                 upstream: id,
                 count: r.get_count(),
                 served: r.get_served(),
                 far: r.get_far().checked_sub(1),
                 ago: Duration::from_millis(r.get_ago_ms().into()),
             },
-            wire::NewsKind::Well => News::Well { upstream: id },
+            wire::NewsKind::Well => Update::Well { upstream: id },
             wire::NewsKind::Retry => {
-                News::Retry { service: id, seen: r.get_count(), spent: r.get_far() }
+                Update::Retry { service: id, seen: r.get_count(), spent: r.get_far() }
             }
-            wire::NewsKind::Spent => News::Spent { service: id, sum: r.get_count() },
+            wire::NewsKind::Spent => Update::Spent { service: id, sum: r.get_count() },
             wire::NewsKind::Denied => {
-                News::Denied { service: id, seen: r.get_count(), spent: r.get_far() }
+                Update::Denied { service: id, seen: r.get_count(), spent: r.get_far() }
             }
             wire::NewsKind::Belief => {
-                News::Belief { upstream: id, phases: r.get_count().to_be_bytes().map(part) }
+                Update::Belief { upstream: id, phases: r.get_count().to_be_bytes().map(part) }
             }
             wire::NewsKind::Limit => {
                 let rate = Some(r.get_rate()).filter(|r| r.is_finite() && *r > 0.0);
-                News::Limit { upstream: id, rate }
+                Update::Limit { upstream: id, rate }
             }
-            wire::NewsKind::Leaving => News::Leaving { upstream: id },
-            wire::NewsKind::Admitted => News::Admitted { subject: id, sum: r.get_count() },
+            wire::NewsKind::Leaving => Update::Leaving { upstream: id },
+            wire::NewsKind::Admitted => Update::Admitted { subject: id, sum: r.get_count() },
             wire::NewsKind::HallAdmitted => {
                 let hall = NameId(r.get_hall());
                 let count = HallCount {
@@ -225,7 +225,7 @@
                     latest: r.get_latest(),
                     level: r.get_level(),
                 };
-                News::HallAdmitted { subject: id, count }
+                Update::HallAdmitted { subject: id, count }
             }
         })
     };
--- a/crates/honeypulley_peer/tests/wire.rs
+++ b/crates/honeypulley_peer/tests/wire.rs
@@ -7,7 +7,7 @@
 use honeypulley_peer::key::FleetKey;
 use honeypulley_peer::listing::{Entry, EntryState, MAX_ENTRIES};
 use honeypulley_peer::requests::MAX_REQUESTS;
-use honeypulley_policy::balance::News;
+use honeypulley_policy::balance::Update;
 use honeypulley_policy::belief::Observation;
 use honeypulley_policy::collector::{Judgement, NameId, Report, ReportItem, Verdict};
 use honeypulley_policy::fleet_limits::HallCount;
@@ -74,23 +74,23 @@
         (any::<u64>(), seen, chance(), chance(), 0u8..12).prop_map(|(id, what, a, b, kind)| {
             let upstream = NameId(id);
             match kind {
-                0 => News::Seen { upstream, what },
-                1 => News::Open { upstream, count: id as u16 },
-                7 => News::Ended {
+                0 => Update::Seen { upstream, what },
+                1 => Update::Open { upstream, count: id as u16 },
+                7 => Update::Ended {
                     upstream,
                     count: id as u16,
                     served: id % 2 == 0,
                     far: (id % 3 > 0).then_some(id as u8 / 2),
                     ago: Duration::from_millis(id % 60_000),
                 },
-                2 => News::Well { upstream },
-                3 => News::Belief { upstream, phases: [a, b] },
-                4 => News::Spent { service: upstream, sum: id as u16 },
+                2 => Update::Well { upstream },
+                3 => Update::Belief { upstream, phases: [a, b] },
+                4 => Update::Spent { service: upstream, sum: id as u16 },
                 10 => {
                     let rate = (id % 5 > 0).then_some(id as u16 as f32 / 8.0 + 0.125);
-                    News::Limit { upstream, rate }
+                    Update::Limit { upstream, rate }
                 }
-                8 => News::Admitted { subject: upstream, sum: id as u16 },
+                8 => Update::Admitted { subject: upstream, sum: id as u16 },
                 9 => {
                     let hall = NameId(id.rotate_left(7));
                     let count = HallCount {
@@ -99,11 +99,11 @@
                         latest: (id >> 16) as u16,
                         level: (id >> 32) as i16,
                     };
-                    News::HallAdmitted { subject: upstream, count }
+                    Update::HallAdmitted { subject: upstream, count }
                 }
-                11 => News::Leaving { upstream },
-                5 => News::Denied { service: upstream, seen: id as u16, spent: id as u8 },
-                _ => News::Retry { service: upstream, seen: id as u16, spent: id as u8 },
+                11 => Update::Leaving { upstream },
+                5 => Update::Denied { service: upstream, seen: id as u16, spent: id as u8 },
+                _ => Update::Retry { service: upstream, seen: id as u16, spent: id as u8 },
             }
         });
     let requests = (any::<[u64; 2]>(), any::<[u32; 2]>(), 0u8..3, any::<u8>()).prop_map(
--- a/crates/honeypulley_policy/benches/pick.rs
+++ b/crates/honeypulley_policy/benches/pick.rs
@@ -5,7 +5,7 @@
 //! Prints the median over several rounds in nanoseconds. Run with `cargo bench -p
 //! honeypulley_policy --bench pick`.
 
-use honeypulley_policy::balance::{Balancer, Listed, News, RetryRule};
+use honeypulley_policy::balance::{Balancer, Listed, RetryRule, Update};
 use honeypulley_policy::chooser::{Ask, Chooser};
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::router::Outcome;
@@ -38,7 +38,7 @@
 fn open_peer_attempts(b: &mut Balancer, now: Time) {
     for peer in 0..PEERS {
         let upstream = NameId::of(&format!("u{}", peer % UPSTREAMS));
-        let open = News::Open { upstream, count: 1 };
+        let open = Update::Open { upstream, count: 1 };
         b.heard(NameId::of(&format!("peer{peer}")), open, now);
     }
 }
@@ -46,7 +46,7 @@
 /// Sets a rate limit, far above the traffic, on the first `upstreams` upstreams.
 fn set_limits(b: &mut Balancer, upstreams: usize, now: Time) {
     for i in 0..upstreams {
-        let news = News::Limit { upstream: NameId::of(&format!("u{i}")), rate: Some(9e5) };
+        let news = Update::Limit { upstream: NameId::of(&format!("u{i}")), rate: Some(9e5) };
         b.heard(NameId::of("peer0"), news, now);
     }
 }
--- a/crates/honeypulley_policy/src/balance.rs
+++ b/crates/honeypulley_policy/src/balance.rs
@@ -33,7 +33,7 @@
 use illness::FailureModes;
 pub use named::NamedLimit;
 use named::RateLimits;
-pub use news::News;
+pub use news::Update;
 use retry::RetryWindow;
 pub use retry::{BudgetUse, Past, Reach, Resend, RetryRule};
 use signals::{Declared, Unlisted};
@@ -247,7 +247,7 @@
     listed: BTreeMap<String, Listed>,
     /// Latest ended incarnations of upstreams that have restarted.
     restarted: VecDeque<UpstreamKey>,
-    news: Vec<News>,
+    news: Vec<Update>,
     rng: fastrand::Rng,
     /// Seed that makes the random draws of this box differ from those of others.
     seed: u64,
@@ -457,7 +457,7 @@
     }
 
     /// Drains the announcements to broadcast.
-    pub fn take_news(&mut self) -> Vec<News> {
+    pub fn take_news(&mut self) -> Vec<Update> {
         std::mem::take(&mut self.news)
     }
 
--- a/crates/honeypulley_policy/src/balance/heard.rs
+++ b/crates/honeypulley_policy/src/balance/heard.rs
@@ -4,7 +4,7 @@
 use super::illness::HUNG_SURVIVAL;
 use super::learn::raise_announced;
 use super::retry::RetryReport;
-use super::{Balancer, News, PeerInFlight, RemoteLoad, Service, Upstream};
+use super::{Balancer, PeerInFlight, RemoteLoad, Service, Update, Upstream};
 use crate::belief::{Belief, Observation};
 use crate::collector::NameId;
 use crate::time::Time;
@@ -33,20 +33,20 @@
 
 impl Balancer {
     /// Applies a peer's announcement; returns a suspicion that it raised.
-    pub fn heard(&mut self, from: NameId, news: News, now: Time) -> Option<Doubt> {
+    pub fn heard(&mut self, from: NameId, news: Update, now: Time) -> Option<Doubt> {
         match news {
-            News::Seen { upstream, what } => return self.apply_seen(from, upstream, what, now),
-            News::Open { upstream, count } => {
+            Update::Seen { upstream, what } => return self.apply_seen(from, upstream, what, now),
+            Update::Open { upstream, count } => {
                 self.apply_open(from, upstream, count, now);
             }
-            News::Ended { upstream, count, served, far, ago } => {
+            Update::Ended { upstream, count, served, far, ago } => {
                 let at = now.before(ago);
                 self.apply_ended(from, upstream, count, served, at);
                 if let (Some(far), Some(u)) = (far, self.upstream_by_id(upstream)) {
                     u.remote = Some(RemoteLoad { count: f64::from(far), at });
                 }
             }
-            News::Well { upstream } => {
+            Update::Well { upstream } => {
                 let u = self.upstream_by_id(upstream)?;
                 u.recovery_announced = true;
                 // This data hall judges its own upstreams by its own attempts.
@@ -54,33 +54,35 @@
                     u.shared.calm(now);
                 }
             }
-            News::Belief { upstream, phases } => {
+            Update::Belief { upstream, phases } => {
                 let u = self.upstream_by_id(upstream)?;
                 if !u.observed {
                     u.observed = true;
                     u.shared = Belief::told(phases, now);
                 }
             }
-            News::Spent { service, sum } => {
+            Update::Spent { service, sum } => {
                 let rule = self.retry_rule;
                 if let Some(s) = self.service_by_id(service) {
                     s.retries.inherit(&rule, sum, now);
                 }
             }
-            News::Retry { service, seen, spent } => {
+            Update::Retry { service, seen, spent } => {
                 self.apply_retries(service, RetryReport { from, seen, spent, retried: true }, now);
             }
-            News::Denied { service, seen, spent } => {
+            Update::Denied { service, seen, spent } => {
                 self.apply_retries(service, RetryReport { from, seen, spent, retried: false }, now);
             }
-            News::Limit { upstream, rate } => self.apply_limit(upstream, rate, now),
-            News::Leaving { upstream } => {
+            Update::Limit { upstream, rate } => self.apply_limit(upstream, rate, now),
+            Update::Leaving { upstream } => {
                 self.learn_leaving(upstream);
             }
             // Counts of organisations, here and in the next variant, are not handled by the
             // balancer.
-            News::Admitted { subject, sum } => self.limits.apply_admitted(from, subject, sum, now),
-            News::HallAdmitted { .. } => {}
+            Update::Admitted { subject, sum } => {
+                self.limits.apply_admitted(from, subject, sum, now)
+            }
+            Update::HallAdmitted { .. } => {}
         }
         None
     }
@@ -185,8 +187,8 @@
     ///
     /// Upstreams without any observation are left out.
     #[must_use]
-    pub fn beliefs(&self, now: Time) -> Vec<News> {
-        let belief = |u: &Upstream| News::Belief { upstream: u.id, phases: u.shared.phases(now) };
+    pub fn beliefs(&self, now: Time) -> Vec<Update> {
+        let belief = |u: &Upstream| Update::Belief { upstream: u.id, phases: u.shared.phases(now) };
         let observed = self.upstreams.values().filter(|u| u.observed);
         observed
             .map(belief)
@@ -199,11 +201,11 @@
     ///
     /// Services for which this box does not know the whole window are left out.
     #[must_use]
-    pub fn spendings(&mut self, now: Time) -> Vec<News> {
+    pub fn spendings(&mut self, now: Time) -> Vec<Update> {
         let rule = self.retry_rule;
         let sum = |s: &mut Service| {
             let sum = s.retries.sum(&rule, now)?;
-            Some(News::Spent { service: s.id, sum })
+            Some(Update::Spent { service: s.id, sum })
         };
         self.services.values_mut().filter_map(sum).collect()
     }
--- a/crates/honeypulley_policy/src/balance/learn.rs
+++ b/crates/honeypulley_policy/src/balance/learn.rs
@@ -4,7 +4,7 @@
 use super::heard::CONTRADICTED_TIME;
 use super::illness::{HUNG_RATIO, OVERDUE_RATIO};
 use super::work::LatencyHistogram;
-use super::{AnswerKind, Attempt, Balancer, ConnectFailure, News, Resend, Upstream};
+use super::{AnswerKind, Attempt, Balancer, ConnectFailure, Resend, Update, Upstream};
 use crate::belief::Observation;
 use crate::collector::NameId;
 use crate::router::{AttemptKey, Outcome, ServiceKey, UpstreamKey};
@@ -58,7 +58,7 @@
             s.failures.record_attempt(now);
         }
         if let Some(u) = self.upstreams.get(upstream) {
-            self.news.push(News::Open { upstream: u.id, count: u.in_flight_count() });
+            self.news.push(Update::Open { upstream: u.id, count: u.in_flight_count() });
         }
     }
 
@@ -67,7 +67,7 @@
         let Some(s) = self.services.get_mut(k) else { return false };
         if !s.retries.spend(&rule, reach, why, now) {
             if s.retries.announcement_due(now) {
-                self.news.push(News::Denied {
+                self.news.push(Update::Denied {
                     service: s.id,
                     seen: s.retries.requests(),
                     spent: s.retries.retries(),
@@ -75,7 +75,7 @@
             }
             return false;
         }
-        self.news.push(News::Retry {
+        self.news.push(Update::Retry {
             service: s.id,
             seen: s.retries.requests(),
             spent: s.retries.retries(),
@@ -138,7 +138,7 @@
             u.in_flight.retain(|&x| x != k);
             let (upstream, count) = (u.id, u.in_flight_count());
             let ago = Duration::ZERO;
-            self.news.push(News::Ended { upstream, count, served, far: a.remote, ago });
+            self.news.push(Update::Ended { upstream, count, served, far: a.remote, ago });
         }
         let what = match outcome {
             Outcome::Whole | Outcome::Abandoned | Outcome::Late => {
@@ -171,11 +171,11 @@
         let connect_failures = std::mem::take(&mut u.connect_failures);
         if a.announced > 1.0 {
             // The attempt was announced as overdue or hung.
-            self.news.push(News::Seen { upstream: u.id, what: Observation::Success });
+            self.news.push(Update::Seen { upstream: u.id, what: Observation::Success });
         }
         if u.local && !u.recovery_announced && u.shared.chance(now) < RECOVERED_CHANCE {
             u.recovery_announced = true;
-            self.news.push(News::Well { upstream: u.id });
+            self.news.push(Update::Well { upstream: u.id });
         }
         self.mark_contradicted(&connect_failures, now);
     }
@@ -199,7 +199,7 @@
         } else {
             u.observe(what, shed_share, now);
         }
-        self.news.push(News::Seen { upstream: u.id, what });
+        self.news.push(Update::Seen { upstream: u.id, what });
     }
 }
 
--- a/crates/honeypulley_policy/src/balance/named.rs
+++ b/crates/honeypulley_policy/src/balance/named.rs
@@ -7,7 +7,7 @@
 //! upstream of a service advertises a limit, this would leave the callers of some data halls
 //! with nothing, so a few data halls each get a share of every limit.
 
-use super::{Balancer, News, Past, Service, Upstream};
+use super::{Balancer, Past, Service, Update, Upstream};
 use crate::chooser::Ask;
 use crate::collector::NameId;
 use crate::fleet_limits::{FleetLimits, LimitRule, RateLimit, Scope};
@@ -161,7 +161,7 @@
         let is_lifted = self.limits.entries.get(&id).is_some_and(|n| started > n.at);
         if is_lifted {
             self.limits.discard(id);
-            self.news.push(News::Limit { upstream: id, rate: None });
+            self.news.push(Update::Limit { upstream: id, rate: None });
         }
         is_lifted
     }
@@ -176,7 +176,7 @@
         let Some(n) = self.limits.entries.get_mut(&id) else { return };
         if is_changed || now.since(n.announced) >= RENEW_INTERVAL {
             n.announced = now;
-            self.news.push(News::Limit { upstream: id, rate: Some(n.rate as f32) });
+            self.news.push(Update::Limit { upstream: id, rate: Some(n.rate as f32) });
         }
     }
 
@@ -196,9 +196,9 @@
     }
 
     /// Returns the current limits for a newly started box.
-    pub(super) fn limits_in_force(&self, now: Time) -> impl Iterator<Item = News> {
+    pub(super) fn limits_in_force(&self, now: Time) -> impl Iterator<Item = Update> {
         let current = self.limits.entries.iter().filter(move |(_, n)| n.is_in_force(now));
-        current.map(|(&upstream, n)| News::Limit { upstream, rate: Some(n.rate as f32) })
+        current.map(|(&upstream, n)| Update::Limit { upstream, rate: Some(n.rate as f32) })
     }
 
     /// Filters out upstreams whose rate limit is exhausted.
--- a/crates/honeypulley_policy/src/balance/news.rs
+++ b/crates/honeypulley_policy/src/balance/news.rs
@@ -7,7 +7,7 @@
 
 /// An announcement of one box to its peers.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum News {
+pub enum Update {
     /// An upstream was observed.
     Seen {
         /// The upstream.
@@ -102,7 +102,7 @@
     },
 }
 
-impl News {
+impl Update {
     /// Returns whether it is sent within the sender's data hall only.
     #[must_use]
     pub const fn is_for_hall(&self) -> bool {
@@ -113,7 +113,7 @@
     ///
     /// The end of an attempt is not urgent; an admission is soon followed by its attempt.
     #[must_use]
-    pub const fn can_wait(&self) -> bool {
+    pub const fn is_deferrable(&self) -> bool {
         matches!(self, Self::Ended { .. } | Self::Admitted { .. })
     }
 
--- a/crates/honeypulley_policy/src/balance/signals.rs
+++ b/crates/honeypulley_policy/src/balance/signals.rs
@@ -4,7 +4,7 @@
 //! that disappears and returns does not.
 
 use super::admit::RETRY_AFTER_BOUNDS;
-use super::{Balancer, News, RemoteLoad, Upstream};
+use super::{Balancer, RemoteLoad, Update, Upstream};
 use crate::chooser::Ask;
 use crate::collector::NameId;
 use crate::router::{AttemptKey, Refusal, RefusalKind, UpstreamKey};
@@ -89,7 +89,7 @@
             (s.leaving && d.record_shutdown(), until.is_some_and(|t| d.extend_backoff(t)))
         });
         if leaving {
-            self.news.push(News::Leaving { upstream: a.id });
+            self.news.push(Update::Leaving { upstream: a.id });
         }
         let limit = s.limit.is_some_and(|rate| self.record_limit(k, rate, now));
         SignalChanges { limit, leaving, backoff }
@@ -149,9 +149,9 @@
     /// Returns the announced shutdowns that the list does not show.
     ///
     /// They are sent to a newly started box.
-    pub(super) fn announced_shutdowns(&self) -> impl Iterator<Item = News> {
+    pub(super) fn announced_shutdowns(&self) -> impl Iterator<Item = Update> {
         let unlisted = self.upstreams.values().filter(|u| u.declared.leaving && !u.leaving);
-        unlisted.map(|u| News::Leaving { upstream: u.id })
+        unlisted.map(|u| Update::Leaving { upstream: u.id })
     }
 }
 
--- a/crates/honeypulley_policy/src/fleet_limits/buckets.rs
+++ b/crates/honeypulley_policy/src/fleet_limits/buckets.rs
@@ -15,7 +15,7 @@
 use super::hall_count::{HallCount, RemoteHall};
 use super::rule::{LimitRule, RateLimit, Scope};
 use super::usage::{ANNOUNCE_INTERVAL, MIN_LEVEL, Usage};
-use crate::balance::{News, Past};
+use crate::balance::{Past, Update};
 use crate::collector::NameId;
 use crate::time::Time;
 use std::collections::{BTreeMap, BTreeSet};
@@ -73,7 +73,7 @@
     usages: BTreeMap<NameId, Usage>,
     /// Subjects with changes since the last call of [`FleetLimits::due`].
     changed: BTreeSet<NameId>,
-    news: Vec<News>,
+    news: Vec<Update>,
     rng: fastrand::Rng,
 }
 
@@ -165,7 +165,7 @@
         u.record_admitted(1, now);
         u.announced = u.announced.wrapping_add(1);
         let sum = u.announced;
-        self.news.push(News::Admitted { subject: id, sum });
+        self.news.push(Update::Admitted { subject: id, sum });
     }
 
     /// Returns a subject's remaining tokens as of its last refill.
@@ -249,11 +249,11 @@
         u.unannounced = false;
         let latest = u16::try_from(u.hall_recent.latest(now)).unwrap_or(u16::MAX);
         let count = HallCount { hall, sum: u.hall_sum, latest, level: u.announced_level() };
-        self.news.push(News::HallAdmitted { subject: id, count });
+        self.news.push(Update::HallAdmitted { subject: id, count });
     }
 
     /// Drains the queued announcements.
-    pub fn take_news(&mut self) -> Vec<News> {
+    pub fn take_news(&mut self) -> Vec<Update> {
         std::mem::take(&mut self.news)
     }
 
--- a/crates/honeypulley_policy/tests/balance/budget.rs
+++ b/crates/honeypulley_policy/tests/balance/budget.rs
@@ -2,7 +2,7 @@
 
 use crate::RULE;
 use crate::balancer;
-use honeypulley_policy::balance::{Balancer, News, Past, Reach, Resend, RetryRule};
+use honeypulley_policy::balance::{Balancer, Past, Reach, Resend, RetryRule, Update};
 use honeypulley_policy::chooser::Chooser;
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::spec::ServiceSpec;
@@ -18,7 +18,7 @@
     for _ in 0..10 {
         b.heard(
             NameId::of("other"),
-            News::Retry { service: NameId::of("s"), seen: 0, spent: 1 },
+            Update::Retry { service: NameId::of("s"), seen: 0, spent: 1 },
             now,
         );
     }
@@ -69,7 +69,7 @@
         let service = b.service("s").expect("service is configured");
         let now = Time::from_millis(100);
         (0..100).for_each(|_| b.arrived(service, now));
-        let retry = News::Retry { service: NameId::of("s"), seen: announced, spent: 1 };
+        let retry = Update::Retry { service: NameId::of("s"), seen: announced, spent: 1 };
         b.heard(NameId::of("other"), retry, now);
         (0..1_000).take_while(|_| b.spend_retry(service, Resend::Failed, now)).count()
     };
@@ -87,12 +87,12 @@
     b.set_reach(Reach { boxes: 5, in_touch: true });
     let service = b.service("s").expect("service is configured");
     let other = NameId::of("other");
-    let denied = |spent| News::Denied { service: NameId::of("s"), seen: 0, spent };
+    let denied = |spent| Update::Denied { service: NameId::of("s"), seen: 0, spent };
     let now = Time::from_millis(100);
     b.heard(other, denied(10), now);
     assert!(!b.spend_retry(service, Resend::Failed, now), "the fleet has used up its slack");
     b.heard(other, denied(10), now);
-    let retry = News::Retry { service: NameId::of("s"), seen: 0, spent: 11 };
+    let retry = Update::Retry { service: NameId::of("s"), seen: 0, spent: 11 };
     b.heard(other, retry, now);
     assert_eq!(b.budget_use(service, now).others, 11, "each retry counts once");
 }
@@ -116,7 +116,7 @@
             continue;
         }
         spent += 1;
-        let news = News::Retry { service, seen: 0, spent: 1 };
+        let news = Update::Retry { service, seen: 0, spent: 1 };
         for b in boxes.iter_mut().enumerate().filter(|(j, _)| *j != i).map(|(_, b)| b) {
             b.heard(NameId(i as u64), news, now);
         }
@@ -175,12 +175,12 @@
     let now = Time::from_millis(9_000);
     let service = NameId::of("s");
     let other = NameId::of("other");
-    running.heard(other, News::Retry { service, seen: 0, spent: 30 }, now);
+    running.heard(other, Update::Retry { service, seen: 0, spent: 30 }, now);
     let mut restarted = fleet().with_past(Past::Unknown);
     restarted.set_services(&[], now);
     restarted.set_services(&[ServiceSpec::builder().name("s").build()], now);
     let announced = running.spendings(now);
-    assert!(announced.contains(&News::Spent { service, sum: 30 }), "{announced:?}");
+    assert!(announced.contains(&Update::Spent { service, sum: 30 }), "{announced:?}");
     for n in announced {
         restarted.heard(NameId::of("old"), n, now);
     }
@@ -188,7 +188,7 @@
     let known = restarted.budget_use(key, now);
     assert!(known.past_known && known.others == 30, "{known:?}");
     // Retries that their sender announces again count once.
-    restarted.heard(other, News::Retry { service, seen: 0, spent: 31 }, now);
+    restarted.heard(other, Update::Retry { service, seen: 0, spent: 31 }, now);
     assert_eq!(restarted.budget_use(key, now).others, 31);
     let mut more = 0;
     while restarted.spend_retry(key, Resend::Failed, now) {
--- a/crates/honeypulley_policy/tests/balance/choice.rs
+++ b/crates/honeypulley_policy/tests/balance/choice.rs
@@ -1,7 +1,7 @@
 //! Selection by expected loss, beliefs and announcements of one box.
 
 use crate::{RULE, ask, balancer, failure, listed, send};
-use honeypulley_policy::balance::{Balancer, News};
+use honeypulley_policy::balance::{Balancer, Update};
 use honeypulley_policy::belief::{Belief, Observation};
 use honeypulley_policy::chooser::Chooser;
 use honeypulley_policy::collector::NameId;
@@ -149,7 +149,7 @@
 #[test]
 fn an_unreachable_upstream_becomes_suspect_only_by_a_second_box() {
     let mut b = balancer(3);
-    let unreachable = News::Seen { upstream: NameId::of("u1"), what: Observation::Unreachable };
+    let unreachable = Update::Seen { upstream: NameId::of("u1"), what: Observation::Unreachable };
     for i in 0..5 {
         b.heard(NameId::of("cut-off"), unreachable, Time::from_millis(i * 100));
     }
@@ -225,7 +225,7 @@
         b.heard(NameId::of("other"), failure(name), Time::from_millis(10));
         b.heard(
             NameId::of("other"),
-            News::Well { upstream: NameId::of(name) },
+            Update::Well { upstream: NameId::of(name) },
             Time::from_millis(20),
         );
     }
@@ -242,7 +242,7 @@
     b.heard(NameId::of("other"), failure("u0"), Time::from_millis(10));
     send(&mut b, 50, 3_000, true);
     let upstream = NameId::of("u0");
-    let announced = b.take_news().into_iter().filter(|n| *n == News::Well { upstream }).count();
+    let announced = b.take_news().into_iter().filter(|n| *n == Update::Well { upstream }).count();
     assert_eq!(announced, 1);
 }
 
--- a/crates/honeypulley_policy/tests/balance/halls.rs
+++ b/crates/honeypulley_policy/tests/balance/halls.rs
@@ -6,7 +6,7 @@
 //! upstreams were suspect.
 
 use crate::{RULE, ask, listed, report_load};
-use honeypulley_policy::balance::{Balancer, News, Past};
+use honeypulley_policy::balance::{Balancer, Past, Update};
 use honeypulley_policy::belief::Observation;
 use honeypulley_policy::chooser::{Ask, Chooser};
 use honeypulley_policy::collector::NameId;
@@ -58,7 +58,7 @@
 fn suspect_local(b: &mut Balancer, at: u64) {
     for i in 0..5 {
         let upstream = NameId::of(&format!("near{i}"));
-        let news = News::Seen { upstream, what: Observation::Failure };
+        let news = Update::Seen { upstream, what: Observation::Failure };
         b.heard(NameId::of("peer"), news, Time::from_millis(at));
     }
 }
--- a/crates/honeypulley_policy/tests/balance/lives.rs
+++ b/crates/honeypulley_policy/tests/balance/lives.rs
@@ -1,7 +1,7 @@
 //! Restarts of upstreams: state of the previous incarnation is dropped.
 
 use crate::{ask, balancer, failure, listed, report_load, send};
-use honeypulley_policy::balance::{Balancer, Listed, News};
+use honeypulley_policy::balance::{Balancer, Listed, Update};
 use honeypulley_policy::belief::Observation;
 use honeypulley_policy::chooser::Chooser;
 use honeypulley_policy::collector::NameId;
@@ -48,7 +48,8 @@
 #[test]
 fn a_new_incarnation_is_not_suspect_for_the_previous_one() {
     let mut b = two_upstreams();
-    let seen = News::Seen { upstream: incarnation("u0", 1_000).life(), what: Observation::Failure };
+    let seen =
+        Update::Seen { upstream: incarnation("u0", 1_000).life(), what: Observation::Failure };
     for i in 0..3 {
         b.heard(NameId::of("peer"), seen, at(i * 100));
     }
@@ -62,7 +63,7 @@
 #[case::clock_set_back(500)]
 #[case::far_ahead(4_102_444_800_000)]
 fn attempts_of_peers_end_with_the_incarnation(#[case] born: u64) {
-    let open = News::Open { upstream: incarnation("u0", 1_000).life(), count: 9 };
+    let open = Update::Open { upstream: incarnation("u0", 1_000).life(), count: 9 };
     let [mut same, mut restarted] = [two_upstreams(), two_upstreams()];
     same.heard(NameId::of("peer"), open, Time::ZERO);
     restarted.heard(NameId::of("peer"), open, Time::ZERO);
@@ -85,7 +86,8 @@
 fn late_announcements_of_the_previous_incarnation_are_ignored() {
     let mut b = two_upstreams();
     b.set_upstream(incarnation("u0", 2_000), at(100));
-    let seen = News::Seen { upstream: incarnation("u0", 1_000).life(), what: Observation::Failure };
+    let seen =
+        Update::Seen { upstream: incarnation("u0", 1_000).life(), what: Observation::Failure };
     for i in 0..3 {
         b.heard(NameId::of("peer"), seen, at(101 + i));
     }
@@ -123,7 +125,8 @@
 #[test]
 fn relisting_the_same_incarnation_keeps_its_state() {
     let mut b = two_upstreams();
-    let seen = News::Seen { upstream: incarnation("u0", 1_000).life(), what: Observation::Failure };
+    let seen =
+        Update::Seen { upstream: incarnation("u0", 1_000).life(), what: Observation::Failure };
     for i in 0..3 {
         b.heard(NameId::of("peer"), seen, at(i * 100));
     }
--- a/crates/honeypulley_policy/tests/balance/main.rs
+++ b/crates/honeypulley_policy/tests/balance/main.rs
@@ -9,7 +9,7 @@
 mod signals;
 mod trials;
 
-use honeypulley_policy::balance::{Balancer, Listed, News, Past, RetryRule};
+use honeypulley_policy::balance::{Balancer, Listed, Past, RetryRule, Update};
 use honeypulley_policy::belief::Observation;
 use honeypulley_policy::chooser::{Ask, Chooser, LoadReport};
 use honeypulley_policy::collector::NameId;
@@ -90,6 +90,6 @@
 }
 
 /// Returns a peer's announcement that an upstream failed at once.
-fn failure(name: &str) -> News {
-    News::Seen { upstream: NameId::of(name), what: Observation::Failure }
+fn failure(name: &str) -> Update {
+    Update::Seen { upstream: NameId::of(name), what: Observation::Failure }
 }
--- a/crates/honeypulley_policy/tests/balance/named.rs
+++ b/crates/honeypulley_policy/tests/balance/named.rs
@@ -1,7 +1,7 @@
 //! Rate limits that upstreams advertise.
 
 use super::{RULE, advertise, ask, balancer, listed};
-use honeypulley_policy::balance::{Balancer, Listed, News, Past, Reach};
+use honeypulley_policy::balance::{Balancer, Listed, Past, Reach, Update};
 use honeypulley_policy::chooser::{Ask, Chooser};
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::router::{Outcome, Pick, RefusalKind};
@@ -36,7 +36,7 @@
 
 /// Applies a peer's announcement of a rate limit of `u0`.
 fn announce_limit(b: &mut Balancer, rate: Option<f32>, ms: u64) {
-    let news = News::Limit { upstream: NameId::of("u0"), rate };
+    let news = Update::Limit { upstream: NameId::of("u0"), rate };
     b.heard(NameId(9), news, at(ms));
 }
 
@@ -65,7 +65,7 @@
         let ms = u64::from(s) * 1_000;
         // Every other datagram of the peer is lost.
         if s % 2 == 1 {
-            let news = News::Admitted { subject: NameId::of("u0"), sum: s };
+            let news = Update::Admitted { subject: NameId::of("u0"), sum: s };
             b.heard(NameId(9), news, at(ms));
         }
         got += count_u0(&mut b, ms, ms + 1_000, Some(1.0));
@@ -80,13 +80,13 @@
 fn sends_are_announced_in_the_hall_and_limits_to_all() {
     let mut b = balancer(1);
     send_one(&mut b, &[], Some(5.0), 0);
-    let limit = News::Limit { upstream: NameId::of("u0"), rate: Some(5.0) };
+    let limit = Update::Limit { upstream: NameId::of("u0"), rate: Some(5.0) };
     let news = b.take_news();
     assert!(news.contains(&limit) && !limit.is_for_hall(), "{news:?}");
     send_one(&mut b, &[], Some(5.0), 300);
     let news = b.take_news();
     assert!(!news.contains(&limit), "an unchanged limit is not announced again at once");
-    let is_sent = |n: &News| matches!(n, News::Admitted { .. }) && n.is_for_hall();
+    let is_sent = |n: &Update| matches!(n, Update::Admitted { .. }) && n.is_for_hall();
     assert_eq!(news.iter().filter(|n| is_sent(n)).count(), 1, "{news:?}");
     send_one(&mut b, &[], Some(5.0), 2_500);
     assert!(
@@ -101,7 +101,7 @@
     let mut b = balancer(2);
     let ask = ask(&b, true);
     for u in ["u0", "u1"] {
-        let news = News::Limit { upstream: NameId::of(u), rate: Some(0.1) };
+        let news = Update::Limit { upstream: NameId::of(u), rate: Some(0.1) };
         b.heard(NameId(9), news, at(0));
     }
     let mut sent = 0;
@@ -129,7 +129,7 @@
     let since = (5_000..8_000).step_by(20);
     let unlimited = since.filter_map(|ms| send_one(&mut b, &["u0"], None, ms).map(|n| (n, ms)));
     let first = unlimited.into_iter().find(|(n, _)| n == "u0").expect("u0 gets requests").1;
-    let withdrawn = News::Limit { upstream: NameId::of("u0"), rate: None };
+    let withdrawn = Update::Limit { upstream: NameId::of("u0"), rate: None };
     assert!(b.take_news().contains(&withdrawn));
     assert!(count_u0(&mut b, first + 20, first + 2_020, None) > 25, "half of the requests again");
 }
@@ -182,7 +182,7 @@
 fn a_started_box_receives_the_limits() {
     let mut b = balancer(2);
     announce_limit(&mut b, Some(2.5), 0);
-    let limit = News::Limit { upstream: NameId::of("u0"), rate: Some(2.5) };
+    let limit = Update::Limit { upstream: NameId::of("u0"), rate: Some(2.5) };
     assert!(b.beliefs(at(1_000)).contains(&limit));
     announce_limit(&mut b, None, 2_000);
     assert!(!b.beliefs(at(3_000)).contains(&limit));
@@ -225,7 +225,7 @@
     for (hall, part) in [("h", 0.75), ("g", 0.25)] {
         let mut b = two_halls(hall);
         for u in ["u0", "u1"] {
-            let news = News::Limit { upstream: NameId::of(u), rate: Some(8.0) };
+            let news = Update::Limit { upstream: NameId::of(u), rate: Some(8.0) };
             b.heard(NameId(9), news, at(0));
         }
         let got = count_u0(&mut b, 0, 20_000, Some(8.0)) as f64;
--- a/crates/honeypulley_policy/tests/balance/open_attempts.rs
+++ b/crates/honeypulley_policy/tests/balance/open_attempts.rs
@@ -1,7 +1,7 @@
 //! Evidence from attempts in flight and load reports, and admission control.
 
 use crate::{ask, balancer, report_load, send};
-use honeypulley_policy::balance::{Balancer, News};
+use honeypulley_policy::balance::{Balancer, Update};
 use honeypulley_policy::belief::Observation;
 use honeypulley_policy::chooser::{Ask, Chooser};
 use honeypulley_policy::collector::NameId;
@@ -13,7 +13,7 @@
 #[test]
 fn attempts_of_a_peer_in_the_hall_count_as_load() {
     let mut b = balancer(2);
-    let open = News::Open { upstream: NameId::of("u0"), count: 6 };
+    let open = Update::Open { upstream: NameId::of("u0"), count: 6 };
     b.heard(NameId::of("peer"), open, Time::ZERO);
     let picks = send(&mut b, 50, 1, true);
     assert_eq!(picks.get("u0"), None, "{picks:?}");
@@ -42,9 +42,9 @@
     assert_eq!(
         announced,
         [
-            News::Open { upstream, count: 1 },
-            News::Ended { upstream, count: 0, served: false, far: None, ago: Duration::ZERO },
-            News::Seen { upstream, what: Observation::Failure },
+            Update::Open { upstream, count: 1 },
+            Update::Ended { upstream, count: 0, served: false, far: None, ago: Duration::ZERO },
+            Update::Seen { upstream, what: Observation::Failure },
         ]
     );
 }
@@ -64,12 +64,12 @@
         rows.iter().find(|r| r.upstream == "u0").expect("upstream is listed").sick
     };
     let before = sick(&b, 100);
-    b.heard(peer, News::Open { upstream, count: 2 }, Time::from_millis(10));
+    b.heard(peer, Update::Open { upstream, count: 2 }, Time::from_millis(10));
     if let Some(what) = observation {
-        b.heard(peer, News::Seen { upstream, what }, Time::from_millis(50));
+        b.heard(peer, Update::Seen { upstream, what }, Time::from_millis(50));
     }
     let served = observation.is_none();
-    let ended = News::Ended { upstream, count: 0, served, far: None, ago: Duration::ZERO };
+    let ended = Update::Ended { upstream, count: 0, served, far: None, ago: Duration::ZERO };
     b.heard(peer, ended, Time::from_millis(100));
     assert_eq!(sick(&b, 100) < before, is_raised);
 }
@@ -106,7 +106,7 @@
 fn announce_queue(b: &mut Balancer, upstreams: usize, count: u16, at: Time) {
     for i in 0..upstreams {
         let upstream = NameId::of(&format!("u{i}"));
-        b.heard(NameId::of("peer"), News::Open { upstream, count }, at);
+        b.heard(NameId::of("peer"), Update::Open { upstream, count }, at);
     }
 }
 
@@ -162,7 +162,7 @@
     b.finish(pick.attempt, Outcome::Whole, now);
     let upstream = NameId::of("u0");
     let ago = Duration::ZERO;
-    let announced = News::Ended { upstream, count: 0, served: true, far: Some(3), ago };
+    let announced = Update::Ended { upstream, count: 0, served: true, far: Some(3), ago };
     assert!(b.take_news().contains(&announced));
     let mut other = balancer(1);
     other.heard(NameId::of("peer"), announced, now);
@@ -185,11 +185,11 @@
         let mut b = balancer(2);
         for i in 0..30 {
             let what = usual.unwrap_or(Observation::Success);
-            let seen = News::Seen { upstream: NameId::of("u1"), what };
+            let seen = Update::Seen { upstream: NameId::of("u1"), what };
             b.heard(NameId::of("other"), seen, Time::from_millis(i));
         }
         let upstream = NameId::of("u0");
-        let open = News::Open { upstream, count: 1 };
+        let open = Update::Open { upstream, count: 1 };
         b.heard(NameId::of("peer"), open, Time::from_millis(100));
         let rows = b.status(Time::from_millis(101));
         let ask = ask(&b, true);
--- a/crates/honeypulley_policy/tests/balance/signals.rs
+++ b/crates/honeypulley_policy/tests/balance/signals.rs
@@ -1,7 +1,7 @@
 //! Signals that upstreams send in their answers, and how long they apply.
 
 use super::{ask, balancer, listed, send};
-use honeypulley_policy::balance::{Balancer, Listed, News};
+use honeypulley_policy::balance::{Balancer, Listed, Update};
 use honeypulley_policy::chooser::Chooser;
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::router::{Outcome, Pick, RefusalKind};
@@ -48,7 +48,7 @@
     let mut b = balancer(3);
     b.take_news();
     announce_shutdown(&mut b, 0);
-    let leaving = News::Leaving { upstream: NameId::of("u0") };
+    let leaving = Update::Leaving { upstream: NameId::of("u0") };
     let news = b.take_news();
     assert!(news.contains(&leaving) && !leaving.is_for_hall(), "{news:?}");
     assert_eq!(sent_to_u0(&mut b, 10), 0);
@@ -58,7 +58,7 @@
 #[test]
 fn a_peer_that_receives_the_announcement_sends_nothing_either() {
     let mut b = balancer(3);
-    b.heard(NameId(9), News::Leaving { upstream: NameId::of("u0") }, at(0));
+    b.heard(NameId(9), Update::Leaving { upstream: NameId::of("u0") }, at(0));
     assert_eq!(sent_to_u0(&mut b, 10), 0);
 }
 
@@ -87,7 +87,7 @@
 #[test]
 fn an_announcement_before_the_list_entry_applies() {
     let mut b = balancer(2);
-    b.heard(NameId(9), News::Leaving { upstream: NameId::of("u7") }, at(0));
+    b.heard(NameId(9), Update::Leaving { upstream: NameId::of("u7") }, at(0));
     b.set_upstream(listed("u7", "h", MemberState::Live), at(100));
     assert_eq!(send(&mut b, 200, 200, true).get("u7"), None);
 }
@@ -115,7 +115,7 @@
 fn a_box_that_starts_receives_the_announcements() {
     let mut b = balancer(3);
     announce_shutdown(&mut b, 0);
-    let leaving = News::Leaving { upstream: NameId::of("u0") };
+    let leaving = Update::Leaving { upstream: NameId::of("u0") };
     assert!(b.beliefs(at(10)).contains(&leaving));
     // From here on the list shows it.
     b.set_upstream(listed("u0", "h", MemberState::Leaving), at(20));
@@ -257,7 +257,7 @@
     b.remove_upstream("u1");
     b.take_news();
     assert!(b.signalled(p.attempt, &LEAVING, at(10)).leaving);
-    assert!(b.take_news().contains(&News::Leaving { upstream: NameId::of("u0") }));
+    assert!(b.take_news().contains(&Update::Leaving { upstream: NameId::of("u0") }));
     assert!(b.signalled(q.attempt, &backoff(3_000), at(10)).backoff);
     for name in ["u0", "u1"] {
         b.set_upstream(listed(name, "h", MemberState::Live), at(100));
--- a/crates/honeypulley_policy/tests/limits/fleet.rs
+++ b/crates/honeypulley_policy/tests/limits/fleet.rs
@@ -3,7 +3,7 @@
 //! The simulation uses neither sockets nor clocks and is deterministic for a given seed.
 
 use crate::strategies::{Alone, Batches, Drawn, EqualShare, Hall, HallShare, Limiter, Told};
-use honeypulley_policy::balance::{News, Past};
+use honeypulley_policy::balance::{Past, Update};
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::fleet_limits::RateLimit;
 use honeypulley_policy::placement::weight;
@@ -53,7 +53,7 @@
 pub struct Message {
     pub from: BoxId,
     pub to: BoxId,
-    pub news: News,
+    pub news: Update,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/honeypulley_policy/tests/limits/strategies.rs
+++ b/crates/honeypulley_policy/tests/limits/strategies.rs
@@ -1,7 +1,7 @@
 //! Strategies for fleet-wide rate limits: the one in use, and alternatives for comparison.
 
 use crate::fleet::{BoxId, Fleet, Message};
-use honeypulley_policy::balance::{News, Past};
+use honeypulley_policy::balance::{Past, Update};
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::fleet_limits::{FleetLimits, LimitRule, RateLimit, Scope};
 use honeypulley_policy::placement::weight;
@@ -55,7 +55,7 @@
         }
         for news in self.limits.take_news() {
             let to = match news {
-                News::Admitted { .. } => fleet.hall_peers(self.this_box),
+                Update::Admitted { .. } => fleet.hall_peers(self.this_box),
                 _ => fleet.others(self.this_box),
             };
             out.extend(to.map(|to| Message { from: self.this_box, to, news }));
@@ -75,10 +75,10 @@
         let from = fleet.id(m.from);
         self.set_scope(fleet, now);
         match m.news {
-            News::Admitted { subject, sum } => {
+            Update::Admitted { subject, sum } => {
                 self.limits.heard_box(from, subject, sum, now);
             }
-            News::HallAdmitted { subject, count } => {
+            Update::HallAdmitted { subject, count } => {
                 self.limits.heard_hall(from, subject, count, now);
             }
             _ => {}
@@ -163,7 +163,7 @@
             return;
         }
         self.requested_at = Some(now);
-        let news = News::Admitted { subject: organisation(), sum: 0 };
+        let news = Update::Admitted { subject: organisation(), sum: 0 };
         out.push(Message { from: self.this_box, to: fleet.token_holder(now), news });
     }
 }
@@ -182,13 +182,13 @@
     }
 
     fn receive(&mut self, fleet: &Fleet, m: &Message, now: Time, out: &mut Vec<Message>) {
-        let News::Admitted { sum, .. } = m.news else { return };
+        let Update::Admitted { sum, .. } = m.news else { return };
         if sum > 0 {
             self.tokens += sum;
             self.requested_at = None;
         } else if fleet.token_holder(now) == self.this_box {
             let granted = (0..BATCH).take_while(|_| self.bucket.take(1.0, now)).count() as u16;
-            let news = News::Admitted { subject: organisation(), sum: granted };
+            let news = Update::Admitted { subject: organisation(), sum: granted };
             if granted > 0 {
                 out.push(Message { from: self.this_box, to: m.from, news });
             }
@@ -286,7 +286,7 @@
 
     fn receive(&mut self, fleet: &Fleet, m: &Message, now: Time, _: &mut Vec<Message>) {
         self.set_scope(fleet, now);
-        if let News::Admitted { subject, sum } = m.news {
+        if let Update::Admitted { subject, sum } = m.news {
             self.limits.heard_box(fleet.id(m.from), subject, sum, now);
         }
     }
--- a/crates/honeypulley_policy/tests/load/hall.rs
+++ b/crates/honeypulley_policy/tests/load/hall.rs
@@ -5,7 +5,7 @@
 
 use crate::plan::{Plan, Policy};
 use crate::worker::Worker;
-use honeypulley_policy::balance::{Balancer, Listed, News, Past, Reach, Resend, RetryRule};
+use honeypulley_policy::balance::{Balancer, Listed, Past, Reach, Resend, RetryRule, Update};
 use honeypulley_policy::chooser::{Ask, Chooser};
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::router::{AttemptKey, Outcome, Reason, UpstreamKey};
@@ -130,9 +130,9 @@
     by_name: BTreeMap<String, usize>,
     /// Upstream keys of each box, valid once it has sent a request there.
     keys: Vec<Vec<UpstreamKey>>,
-    news: VecDeque<(u64, usize, Vec<News>)>,
+    news: VecDeque<(u64, usize, Vec<Update>)>,
     /// Batched news of each box and the times at which they arose.
-    batched: Vec<Vec<(u64, News)>>,
+    batched: Vec<Vec<(u64, Update)>>,
     requests: Vec<Request>,
     /// Start time of each request and whether it was served.
     outcomes: Vec<(u64, bool)>,
@@ -310,8 +310,8 @@
             let batched = &mut self.batched[from];
             batched.extend(b.take_news().into_iter().map(|n| (now, n)));
             let waits = batched.first().is_none_or(|&(at, _)| now < at + hold);
-            if !waits || !batched.iter().all(|(_, n)| n.can_wait()) {
-                let aged = |(at, n): (u64, News)| n.aged(Duration::from_millis(now - at));
+            if !waits || !batched.iter().all(|(_, n)| n.is_deferrable()) {
+                let aged = |(at, n): (u64, Update)| n.aged(Duration::from_millis(now - at));
                 let news = batched.drain(..).map(aged).collect();
                 self.news.push_back((now + NEWS_DELAY_MS, from, news));
             }
--- a/tools/trial/src/model.rs
+++ b/tools/trial/src/model.rs
@@ -4,7 +4,7 @@
 mod traffic;
 
 use crate::sizes::Size;
-use honeypulley_policy::balance::{Balancer, Listed, News, Reach, RetryRule};
+use honeypulley_policy::balance::{Balancer, Listed, Reach, RetryRule, Update};
 use honeypulley_policy::collector::{Collector, Judgement, NameId, Report, Verdict};
 use honeypulley_policy::naive::Naive;
 use honeypulley_policy::permits::{FloorContext, PermitRecord, PermitView};
@@ -140,7 +140,7 @@
     Verdict { b: usize, v: Verdict },
     Permits { b: usize },
     Observe,
-    News { from: usize, to: usize, news: News },
+    Update { from: usize, to: usize, news: Update },
     Overdue { request: usize },
 }
 
@@ -338,7 +338,7 @@
             }
             Event::Permits { b } => self.see_permits(b),
             Event::Observe => self.observe(),
-            Event::News { from, to, news } => {
+            Event::Update { from, to, news } => {
                 self.balancers[to].heard(NameId(from as u64 + 1), news, self.now);
             }
             Event::Overdue { request } => self.overdue(request),
--- a/tools/trial/src/model/traffic.rs
+++ b/tools/trial/src/model/traffic.rs
@@ -137,7 +137,7 @@
                     continue;
                 }
                 self.run.bytes += 60;
-                self.plan(Duration::from_millis(1), Event::News { from: b, to, news });
+                self.plan(Duration::from_millis(1), Event::Update { from: b, to, news });
             }
         }
     }
