--- a/crates/honeypulley_mesh/src/state.rs
+++ b/crates/honeypulley_mesh/src/state.rs
@@ -15,7 +15,7 @@
 use honeypulley_peer::listing::BoxAddress;
 use honeypulley_peer::server::Held;
 use honeypulley_platform::api::Object;
-use honeypulley_policy::balance::{Balancer, Reach, Update};
+use honeypulley_policy::balance::{Balancer, FleetScope, Update};
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::fleet_limits::Scope;
 use honeypulley_policy::quarantine::{Quarantine, RequestNews};
@@ -272,7 +272,8 @@
     /// Updates a balancer's view of the boxes that share its fleet-wide counts.
     pub fn share(&self, balancer: &mut Balancer, now: Time) {
         let book = self.book.lock();
-        balancer.set_reach(Reach { boxes: book.count(), in_touch: book.hears_others(now) });
+        balancer
+            .set_fleet_scope(FleetScope { boxes: book.count(), in_touch: book.hears_others(now) });
         balancer.set_halls(book.halls(), book.is_alone(now));
     }
 
--- a/crates/honeypulley_policy/src/balance.rs
+++ b/crates/honeypulley_policy/src/balance.rs
@@ -35,7 +35,7 @@
 use named::RateLimits;
 pub use news::Update;
 use retry::RetryWindow;
-pub use retry::{BudgetUse, Past, Reach, Resend, RetryRule};
+pub use retry::{BudgetUse, FleetScope, Resend, RetryHistory, RetryRule};
 use signals::{Declared, Unlisted};
 use sizes::AnswerSizes;
 use slotmap::SlotMap;
@@ -49,7 +49,7 @@
 /// Default cost, in requests, of a megabyte sent across data halls.
 ///
 /// A download of 90 kB then costs 0.45 of a request.
-pub const DEFAULT_HALL_PRICE: f64 = 5.0;
+pub const DEFAULT_TRANSFER_COST: f64 = 5.0;
 const BYTES_PER_MB: f64 = 1e6;
 /// Maximum number of ended incarnations that are kept for attempts still in flight there.
 ///
@@ -217,7 +217,7 @@
 pub struct Balancer {
     hall: String,
     hall_id: NameId,
-    reach: Reach,
+    reach: FleetScope,
     /// Number of boxes in this data hall, including this one.
     hall_boxes: usize,
     /// Number of boxes in each data hall.
@@ -225,7 +225,7 @@
     /// Whether this box is isolated from its peers.
     isolated: bool,
     retry_rule: RetryRule,
-    past: Past,
+    past: RetryHistory,
     services: SlotMap<ServiceKey, Service>,
     by_name: BTreeMap<String, ServiceKey>,
     services_by_id: BTreeMap<NameId, ServiceKey>,
@@ -260,13 +260,13 @@
         Self {
             hall: hall.to_owned(),
             hall_id: NameId::of(hall),
-            reach: Reach { boxes: 1, in_touch: true },
+            reach: FleetScope { boxes: 1, in_touch: true },
             hall_boxes: 1,
             halls: BTreeMap::from([(NameId::of(hall), 1)]),
             isolated: false,
-            limits: RateLimits::new(hall, Past::Unknown, seed),
+            limits: RateLimits::new(hall, RetryHistory::Unknown, seed),
             retry_rule,
-            past: Past::Unknown,
+            past: RetryHistory::Unknown,
             services: SlotMap::with_key(),
             by_name: BTreeMap::new(),
             services_by_id: BTreeMap::new(),
@@ -275,7 +275,7 @@
             attempts: SlotMap::with_key(),
             route_latencies: BTreeMap::new(),
             sizes: AnswerSizes::default(),
-            byte_cost: DEFAULT_HALL_PRICE / BYTES_PER_MB,
+            byte_cost: DEFAULT_TRANSFER_COST / BYTES_PER_MB,
             failure_modes: FailureModes::default(),
             unlisted: Unlisted::default(),
             contradicted: BTreeMap::new(),
@@ -289,7 +289,7 @@
 
     /// Sets what is known of retries before this box started.
     #[must_use]
-    pub fn with_past(mut self, past: Past) -> Self {
+    pub fn with_retry_history(mut self, past: RetryHistory) -> Self {
         self.past = past;
         self.limits = RateLimits::new(&self.hall, past, self.seed);
         self
@@ -297,7 +297,7 @@
 
     /// Sets the cost, in requests, of a megabyte sent across data halls.
     #[must_use]
-    pub fn with_hall_price(mut self, requests: f64) -> Self {
+    pub fn with_transfer_cost(mut self, requests: f64) -> Self {
         self.byte_cost = requests / BYTES_PER_MB;
         self
     }
@@ -305,7 +305,7 @@
     /// Sets the boxes that share the retry budget.
     ///
     /// They count as boxes of this data hall unless [`Self::set_halls`] says otherwise.
-    pub fn set_reach(&mut self, reach: Reach) {
+    pub fn set_fleet_scope(&mut self, reach: FleetScope) {
         self.reach = reach;
         if self.halls.len() < 2 {
             self.hall_boxes = reach.boxes;
@@ -328,7 +328,7 @@
     pub fn set_services(&mut self, specs: &[ServiceSpec], now: Time) {
         let mut removed: BTreeSet<String> = self.by_name.keys().cloned().collect();
         // A service that is added later had no requests before this box learned of it.
-        let past = if self.by_name.is_empty() { self.past } else { Past::Empty };
+        let past = if self.by_name.is_empty() { self.past } else { RetryHistory::Empty };
         for spec in specs {
             removed.remove(&spec.name);
             if let Some(&k) = self.by_name.get(&spec.name) {
@@ -485,7 +485,7 @@
 }
 
 impl Service {
-    fn new(spec: ServiceSpec, past: Past, added: Time) -> Self {
+    fn new(spec: ServiceSpec, past: RetryHistory, added: Time) -> Self {
         Self {
             id: NameId::of(&spec.name),
             latencies: LatencyHistogram::default(),
--- a/crates/honeypulley_policy/src/balance/named.rs
+++ b/crates/honeypulley_policy/src/balance/named.rs
@@ -7,7 +7,7 @@
 //! upstream of a service advertises a limit, this would leave the callers of some data halls
 //! with nothing, so a few data halls each get a share of every limit.
 
-use super::{Balancer, Past, Service, Update, Upstream};
+use super::{Balancer, RetryHistory, Service, Update, Upstream};
 use crate::chooser::Ask;
 use crate::collector::NameId;
 use crate::fleet_limits::{FleetLimits, LimitRule, RateLimit, Scope};
@@ -87,7 +87,7 @@
 }
 
 impl RateLimits {
-    pub(super) fn new(hall: &str, past: Past, seed: u64) -> Self {
+    pub(super) fn new(hall: &str, past: RetryHistory, seed: u64) -> Self {
         let buckets = FleetLimits::new(hall, BUCKET_RULE, past, seed, Time::ZERO);
         Self { buckets, entries: BTreeMap::new() }
     }
--- a/crates/honeypulley_policy/src/balance/retry.rs
+++ b/crates/honeypulley_policy/src/balance/retry.rs
@@ -51,7 +51,7 @@
 
 /// Knowledge of the retries before this box started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Past {
+pub enum RetryHistory {
     /// There were none, as the fleet starts for the first time.
     Empty,
     /// Unknown, as after a restart of all boxes.
@@ -63,7 +63,7 @@
 
 /// Boxes that share the budget with this one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Reach {
+pub struct FleetScope {
     /// Number of boxes in the fleet, including this one.
     pub boxes: usize,
     /// Whether this box is in touch with its peers.
@@ -88,7 +88,7 @@
 /// Requests and retries of one service within the window.
 #[derive(Clone, Debug)]
 pub(super) struct RetryWindow {
-    past: Past,
+    past: RetryHistory,
     /// When this box started counting.
     started: Time,
     arrivals: VecDeque<Time>,
@@ -125,7 +125,7 @@
 }
 
 impl RetryWindow {
-    pub(super) const fn new(past: Past, started: Time) -> Self {
+    pub(super) const fn new(past: RetryHistory, started: Time) -> Self {
         Self {
             past,
             started,
@@ -154,14 +154,14 @@
         if self.knows_window(rule, now) {
             return;
         }
-        self.past = Past::Empty;
+        self.past = RetryHistory::Empty;
         let known = self.own.len() + self.others.len();
         self.inherited = Some((usize::from(sum).saturating_sub(known), now));
     }
 
     /// Returns whether the retries of the whole window are known.
     fn knows_window(&self, rule: &RetryRule, now: Time) -> bool {
-        self.past == Past::Empty || now.since(self.started) >= rule.window
+        self.past == RetryHistory::Empty || now.since(self.started) >= rule.window
     }
 
     fn total_retries(&self) -> usize {
@@ -226,7 +226,13 @@
     ///
     /// The fleet's limit is estimated from received announcements. An isolated box has none,
     /// and is limited to an equal share of the slack plus its own traffic.
-    pub(super) fn spend(&mut self, rule: &RetryRule, reach: Reach, why: Resend, now: Time) -> bool {
+    pub(super) fn spend(
+        &mut self,
+        rule: &RetryRule,
+        reach: FleetScope,
+        why: Resend,
+        now: Time,
+    ) -> bool {
         self.expire(rule, now);
         let boxes = reach.boxes.max(1) as f64;
         let (seen, own) = (self.arrivals.len() as f64, self.own.len() as f64);
--- a/crates/honeypulley_policy/src/fleet_limits/buckets.rs
+++ b/crates/honeypulley_policy/src/fleet_limits/buckets.rs
@@ -15,7 +15,7 @@
 use super::hall_count::{HallCount, RemoteHall};
 use super::rule::{LimitRule, RateLimit, Scope};
 use super::usage::{ANNOUNCE_INTERVAL, MIN_LEVEL, Usage};
-use crate::balance::{Past, Update};
+use crate::balance::{RetryHistory, Update};
 use crate::collector::NameId;
 use crate::time::Time;
 use std::collections::{BTreeMap, BTreeSet};
@@ -66,7 +66,7 @@
     rule: LimitRule,
     hall: NameId,
     scope: Scope,
-    past: Past,
+    past: RetryHistory,
     /// Start of counting on this box.
     started_at: Time,
     limits: BTreeMap<NameId, RateLimit>,
@@ -80,7 +80,7 @@
 impl FleetLimits {
     /// Creates the limits of a box in data hall `hall`.
     #[must_use]
-    pub fn new(hall: &str, rule: LimitRule, past: Past, seed: u64, now: Time) -> Self {
+    pub fn new(hall: &str, rule: LimitRule, past: RetryHistory, seed: u64, now: Time) -> Self {
         Self {
             rule,
             hall: NameId::of(hall),
@@ -279,7 +279,8 @@
         }
         // A subject first seen more than a window after the start has had no earlier
         // admissions in this hall, since peers would have announced them.
-        let is_known = self.past == Past::Empty || now.since(self.started_at) > self.rule.window;
+        let is_known =
+            self.past == RetryHistory::Empty || now.since(self.started_at) > self.rule.window;
         let reduced =
             RESTART_BURST_SHARE.mul_add(limit.burst, RESTART_SLACK_SHARE * self.rule.slack);
         let level = if is_known { limit.burst } else { reduced.min(limit.burst) };
--- a/crates/honeypulley_policy/tests/balance/budget.rs
+++ b/crates/honeypulley_policy/tests/balance/budget.rs
@@ -2,7 +2,7 @@
 
 use crate::RULE;
 use crate::balancer;
-use honeypulley_policy::balance::{Balancer, Past, Reach, Resend, RetryRule, Update};
+use honeypulley_policy::balance::{Balancer, FleetScope, Resend, RetryHistory, RetryRule, Update};
 use honeypulley_policy::chooser::Chooser;
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::spec::ServiceSpec;
@@ -11,7 +11,7 @@
 #[test]
 fn the_retry_budget_counts_retries_of_other_boxes() {
     let mut b = balancer(3);
-    b.set_reach(Reach { boxes: 5, in_touch: true });
+    b.set_fleet_scope(FleetScope { boxes: 5, in_touch: true });
     let service = b.service("s").expect("service is configured");
     let now = Time::from_millis(100);
     assert!(b.spend_retry(service, Resend::Failed, now));
@@ -38,7 +38,7 @@
     for seed in 0..boxes {
         let mut b = Balancer::new("h", rule, seed);
         b.set_services(&[ServiceSpec::builder().name("s").build()], Time::ZERO);
-        b.set_reach(Reach { boxes: boxes as usize, in_touch: false });
+        b.set_fleet_scope(FleetScope { boxes: boxes as usize, in_touch: false });
         let service = b.service("s").expect("service is configured");
         for i in 0..10 {
             let now = Time::from_millis(i * 100);
@@ -53,7 +53,7 @@
 #[test]
 fn hedges_leave_budget_for_failed_attempts() {
     let mut b = balancer(3);
-    b.set_reach(Reach { boxes: 3, in_touch: true });
+    b.set_fleet_scope(FleetScope { boxes: 3, in_touch: true });
     let service = b.service("s").expect("service is configured");
     let now = Time::from_millis(100);
     while b.spend_retry(service, Resend::Overdue { stuck: 0.1 }, now) {}
@@ -65,7 +65,7 @@
 fn the_retry_budget_goes_by_the_traffic_that_boxes_told() {
     let max_retries = |announced: u16| {
         let mut b = balancer(3);
-        b.set_reach(Reach { boxes: 40, in_touch: true });
+        b.set_fleet_scope(FleetScope { boxes: 40, in_touch: true });
         let service = b.service("s").expect("service is configured");
         let now = Time::from_millis(100);
         (0..100).for_each(|_| b.arrived(service, now));
@@ -84,7 +84,7 @@
 #[test]
 fn retries_made_during_a_partition_count_after_it() {
     let mut b = balancer(3);
-    b.set_reach(Reach { boxes: 5, in_touch: true });
+    b.set_fleet_scope(FleetScope { boxes: 5, in_touch: true });
     let service = b.service("s").expect("service is configured");
     let other = NameId::of("other");
     let denied = |spent| Update::Denied { service: NameId::of("s"), seen: 0, spent };
@@ -105,7 +105,7 @@
     let mut boxes: Vec<Balancer> = (0..6).map(|seed| Balancer::new("h", rule, seed)).collect();
     for b in &mut boxes {
         b.set_services(&[ServiceSpec::builder().name("s").build()], now);
-        b.set_reach(Reach { boxes: 6, in_touch: true });
+        b.set_fleet_scope(FleetScope { boxes: 6, in_touch: true });
     }
     let mut spent = 0;
     // About a hundred times as many attempts as the rule allows.
@@ -145,14 +145,14 @@
 fn a_first_start_may_use_the_whole_slack_and_a_restart_the_rest() {
     let rule = RetryRule { slack: 58.0, ..RULE };
     let spent = |past| {
-        let mut b = Balancer::new("h", rule, 7).with_past(past);
+        let mut b = Balancer::new("h", rule, 7).with_retry_history(past);
         b.set_services(&[ServiceSpec::builder().name("s").build()], Time::ZERO);
-        b.set_reach(Reach { boxes: 1, in_touch: false });
+        b.set_fleet_scope(FleetScope { boxes: 1, in_touch: false });
         let service = b.service("s").expect("service is configured");
         let now = Time::from_millis(100);
         (0..100).take_while(|_| b.spend_retry(service, Resend::Failed, now)).count()
     };
-    let (before, after) = (spent(Past::Empty), spent(Past::Unknown));
+    let (before, after) = (spent(RetryHistory::Empty), spent(RetryHistory::Unknown));
     assert!(before >= 40, "{before} retries at once");
     assert!(after >= 1, "a request can be retried in the first second");
     assert!(
@@ -166,9 +166,9 @@
 fn a_restarted_box_learns_of_earlier_retries() {
     let rule = RetryRule { slack: 58.0, ..RULE };
     let fleet = || {
-        let mut b = Balancer::new("h", rule, 7).with_past(Past::Empty);
+        let mut b = Balancer::new("h", rule, 7).with_retry_history(RetryHistory::Empty);
         b.set_services(&[ServiceSpec::builder().name("s").build()], Time::ZERO);
-        b.set_reach(Reach { boxes: 5, in_touch: true });
+        b.set_fleet_scope(FleetScope { boxes: 5, in_touch: true });
         b
     };
     let mut running = fleet();
@@ -176,7 +176,7 @@
     let service = NameId::of("s");
     let other = NameId::of("other");
     running.heard(other, Update::Retry { service, seen: 0, spent: 30 }, now);
-    let mut restarted = fleet().with_past(Past::Unknown);
+    let mut restarted = fleet().with_retry_history(RetryHistory::Unknown);
     restarted.set_services(&[], now);
     restarted.set_services(&[ServiceSpec::builder().name("s").build()], now);
     let announced = running.spendings(now);
--- a/crates/honeypulley_policy/tests/balance/halls.rs
+++ b/crates/honeypulley_policy/tests/balance/halls.rs
@@ -6,7 +6,7 @@
 //! upstreams were suspect.
 
 use crate::{RULE, ask, listed, report_load};
-use honeypulley_policy::balance::{Balancer, Past, Update};
+use honeypulley_policy::balance::{Balancer, RetryHistory, Update};
 use honeypulley_policy::belief::Observation;
 use honeypulley_policy::chooser::{Ask, Chooser};
 use honeypulley_policy::collector::NameId;
@@ -29,7 +29,9 @@
 ///
 /// Five more, `far0` to `far4`, are in another data hall.
 fn two_halls(cost: f64) -> Balancer {
-    let mut b = Balancer::new("h", RULE, 7).with_past(Past::Empty).with_hall_price(cost);
+    let mut b = Balancer::new("h", RULE, 7)
+        .with_retry_history(RetryHistory::Empty)
+        .with_transfer_cost(cost);
     b.set_services(&[ServiceSpec::builder().name("s").build()], Time::ZERO);
     for i in 0..5 {
         b.set_upstream(listed(&format!("near{i}"), "h", MemberState::Live), Time::ZERO);
--- a/crates/honeypulley_policy/tests/balance/main.rs
+++ b/crates/honeypulley_policy/tests/balance/main.rs
@@ -9,7 +9,7 @@
 mod signals;
 mod trials;
 
-use honeypulley_policy::balance::{Balancer, Listed, Past, RetryRule, Update};
+use honeypulley_policy::balance::{Balancer, Listed, RetryHistory, RetryRule, Update};
 use honeypulley_policy::belief::Observation;
 use honeypulley_policy::chooser::{Ask, Chooser, LoadReport};
 use honeypulley_policy::collector::NameId;
@@ -39,7 +39,7 @@
 ///
 /// Its fleet starts for the first time.
 fn balancer(n: usize) -> Balancer {
-    let mut b = Balancer::new("h", RULE, 7).with_past(Past::Empty);
+    let mut b = Balancer::new("h", RULE, 7).with_retry_history(RetryHistory::Empty);
     b.set_services(&[ServiceSpec::builder().name("s").build()], Time::ZERO);
     for i in 0..n {
         b.set_upstream(listed(&format!("u{i}"), "h", MemberState::Live), Time::ZERO);
--- a/crates/honeypulley_policy/tests/balance/named.rs
+++ b/crates/honeypulley_policy/tests/balance/named.rs
@@ -1,7 +1,7 @@
 //! Rate limits that upstreams advertise.
 
 use super::{RULE, advertise, ask, balancer, listed};
-use honeypulley_policy::balance::{Balancer, Listed, Past, Reach, Update};
+use honeypulley_policy::balance::{Balancer, FleetScope, Listed, RetryHistory, Update};
 use honeypulley_policy::chooser::{Ask, Chooser};
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::router::{Outcome, Pick, RefusalKind};
@@ -58,7 +58,7 @@
 #[test]
 fn sends_of_the_data_hall_count_by_their_sums() {
     let mut b = balancer(3);
-    b.set_reach(Reach { boxes: 3, in_touch: true });
+    b.set_fleet_scope(FleetScope { boxes: 3, in_touch: true });
     announce_limit(&mut b, Some(1.0), 0);
     let mut got = 0;
     for s in 0..20_u16 {
@@ -201,11 +201,11 @@
 
 /// Returns a box of a fleet with two data halls of one upstream each.
 fn two_halls(hall: &str) -> Balancer {
-    let mut b = Balancer::new(hall, RULE, 3).with_past(Past::Empty);
+    let mut b = Balancer::new(hall, RULE, 3).with_retry_history(RetryHistory::Empty);
     b.set_services(&[ServiceSpec::builder().name("s").build()], Time::ZERO);
     b.set_upstream(listed("u0", "h", MemberState::Live), Time::ZERO);
     b.set_upstream(listed("u1", "g", MemberState::Live), Time::ZERO);
-    b.set_reach(Reach { boxes: 4, in_touch: true });
+    b.set_fleet_scope(FleetScope { boxes: 4, in_touch: true });
     b.set_halls(&BTreeMap::from([(NameId::of("h"), 3), (NameId::of("g"), 1)]), false);
     b
 }
@@ -274,7 +274,7 @@
 fn an_isolated_box_keeps_to_a_share() {
     let mut b = balancer(2);
     let hall = BTreeMap::from([(NameId::of("h"), 10)]);
-    b.set_reach(Reach { boxes: 10, in_touch: false });
+    b.set_fleet_scope(FleetScope { boxes: 10, in_touch: false });
     announce_limit(&mut b, Some(10.0), 0);
     b.set_halls(&hall, true);
     let got = count_u0(&mut b, 0, 20_000, Some(10.0));
--- a/crates/honeypulley_policy/tests/floor.rs
+++ b/crates/honeypulley_policy/tests/floor.rs
@@ -3,7 +3,7 @@
 //! The boxes of one simulated data hall exchange their news without delay. The simulation uses no
 //! sockets and no clock, so it gives the same result in each run.
 
-use honeypulley_policy::balance::{Balancer, Listed, Reach, RetryRule};
+use honeypulley_policy::balance::{Balancer, FleetScope, Listed, RetryRule};
 use honeypulley_policy::chooser::{Ask, Chooser};
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::router::{AttemptKey, Outcome};
@@ -140,7 +140,7 @@
     let rule = RetryRule { ratio: 0.2, slack: 58.0, window: Duration::from_secs(10) };
     let mut b = Balancer::new("h", rule, seed);
     b.set_services(&[ServiceSpec::builder().name("s").build()], Time::ZERO);
-    b.set_reach(Reach { boxes, in_touch: true });
+    b.set_fleet_scope(FleetScope { boxes, in_touch: true });
     for i in 0..upstreams {
         let member = Member {
             name: name(i),
--- a/crates/honeypulley_policy/tests/limits/fleet.rs
+++ b/crates/honeypulley_policy/tests/limits/fleet.rs
@@ -3,7 +3,7 @@
 //! The simulation uses neither sockets nor clocks and is deterministic for a given seed.
 
 use crate::strategies::{Alone, Batches, Drawn, EqualShare, Hall, HallShare, Limiter, Told};
-use honeypulley_policy::balance::{Past, Update};
+use honeypulley_policy::balance::{RetryHistory, Update};
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::fleet_limits::RateLimit;
 use honeypulley_policy::placement::weight;
@@ -185,7 +185,7 @@
     }
 }
 
-fn limiter(fleet: &Fleet, b: BoxId, limit: RateLimit, past: Past) -> Box<dyn Limiter> {
+fn limiter(fleet: &Fleet, b: BoxId, limit: RateLimit, past: RetryHistory) -> Box<dyn Limiter> {
     match fleet.plan.strategy {
         Strategy::Told => {
             Box::new(Told::new(b, fleet, limit, past, Time::from_millis(fleet.now_ms)))
@@ -222,7 +222,7 @@
     let n = plan.boxes;
     let mut fleet = Fleet { plan, ids, connected_at: vec![0; n], cut: vec![false; n], now_ms: 0 };
     let mut boxes: Vec<Box<dyn Limiter>> =
-        (0..n).map(|i| limiter(&fleet, BoxId(i), plan.limit, Past::Empty)).collect();
+        (0..n).map(|i| limiter(&fleet, BoxId(i), plan.limit, RetryHistory::Empty)).collect();
     let mut limit = plan.limit;
     let mut ideal = (limit.burst, 0.0_f64);
     let mut admitted: Vec<u64> = Vec::new();
@@ -242,7 +242,7 @@
         }
         if plan.killed.0 > 0.0 && ms == plan.killed.1 {
             for i in (0..n).filter(|&i| (i as f64) < plan.killed.0 * n as f64) {
-                boxes[i] = limiter(&fleet, BoxId(i), limit, Past::Unknown);
+                boxes[i] = limiter(&fleet, BoxId(i), limit, RetryHistory::Unknown);
                 down_until[i] = ms + 500;
             }
         }
--- a/crates/honeypulley_policy/tests/limits/strategies.rs
+++ b/crates/honeypulley_policy/tests/limits/strategies.rs
@@ -1,7 +1,7 @@
 //! Strategies for fleet-wide rate limits: the one in use, and alternatives for comparison.
 
 use crate::fleet::{BoxId, Fleet, Message};
-use honeypulley_policy::balance::{Past, Update};
+use honeypulley_policy::balance::{RetryHistory, Update};
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::fleet_limits::{FleetLimits, LimitRule, RateLimit, Scope};
 use honeypulley_policy::placement::weight;
@@ -30,7 +30,13 @@
 }
 
 impl Told {
-    pub fn new(this_box: BoxId, fleet: &Fleet, limit: RateLimit, past: Past, now: Time) -> Self {
+    pub fn new(
+        this_box: BoxId,
+        fleet: &Fleet,
+        limit: RateLimit,
+        past: RetryHistory,
+        now: Time,
+    ) -> Self {
         let mut limits = FleetLimits::new(
             &fleet.hall_name(this_box),
             LimitRule::default(),
@@ -245,7 +251,13 @@
 }
 
 impl Hall {
-    pub fn new(this_box: BoxId, fleet: &Fleet, share: HallShare, past: Past, now: Time) -> Self {
+    pub fn new(
+        this_box: BoxId,
+        fleet: &Fleet,
+        share: HallShare,
+        past: RetryHistory,
+        now: Time,
+    ) -> Self {
         let mut limits = FleetLimits::new(
             &fleet.hall_name(this_box),
             UPSTREAM_RULE,
--- a/crates/honeypulley_policy/tests/load/hall.rs
+++ b/crates/honeypulley_policy/tests/load/hall.rs
@@ -5,7 +5,9 @@
 
 use crate::plan::{Plan, Policy};
 use crate::worker::Worker;
-use honeypulley_policy::balance::{Balancer, Listed, Past, Reach, Resend, RetryRule, Update};
+use honeypulley_policy::balance::{
+    Balancer, FleetScope, Listed, Resend, RetryHistory, RetryRule, Update,
+};
 use honeypulley_policy::chooser::{Ask, Chooser};
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::router::{AttemptKey, Outcome, Reason, UpstreamKey};
@@ -437,9 +439,9 @@
 fn new_box(plan: &Plan, seed: u64) -> Balancer {
     let slack = 1.5 * plan.boxes as f64;
     let rule = RetryRule { ratio: 0.2, slack, window: Duration::from_secs(10) };
-    let mut b = Balancer::new("h", rule, seed).with_past(Past::Empty);
+    let mut b = Balancer::new("h", rule, seed).with_retry_history(RetryHistory::Empty);
     b.set_services(&[ServiceSpec::builder().name("s").build()], Time::ZERO);
-    b.set_reach(Reach { boxes: plan.boxes, in_touch: true });
+    b.set_fleet_scope(FleetScope { boxes: plan.boxes, in_touch: true });
     for i in 0..plan.upstreams {
         let member = Member {
             name: name(i),
--- a/crates/honeypulley_proxy/tests/race/support.rs
+++ b/crates/honeypulley_proxy/tests/race/support.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use cadence::{NopMetricSink, StatsdClient};
-use honeypulley_policy::balance::{Balancer, Listed, Past, RetryRule};
+use honeypulley_policy::balance::{Balancer, Listed, RetryHistory, RetryRule};
 use honeypulley_policy::chooser::{Ask, Chooser};
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::quarantine::{Fingerprint, Fingerprints};
@@ -44,7 +44,8 @@
 
 /// Creates a box with upstreams at these addresses.
 pub fn test_gate(addrs: &[String], clock: Clock) -> TestGate {
-    let mut balancer = Balancer::new("h", RetryRule::default(), 7).with_past(Past::Empty);
+    let mut balancer =
+        Balancer::new("h", RetryRule::default(), 7).with_retry_history(RetryHistory::Empty);
     balancer.set_services(&[ServiceSpec::builder().name("s").build()], Time::ZERO);
     for (i, addr) in addrs.iter().enumerate() {
         let member = Member {
