--- a/crates/honeypulley_mesh/src/decoder.rs
+++ b/crates/honeypulley_mesh/src/decoder.rs
@@ -1,7 +1,7 @@
 //! Decoding of the platform's objects into this project's types.
 
 use honeypulley_platform::api::Object;
-use honeypulley_policy::balance::Listed;
+use honeypulley_policy::balance::UpstreamEntry;
 use honeypulley_policy::revision::Revision;
 use honeypulley_policy::routes::RouteTable;
 use std::fmt::Debug;
@@ -46,5 +46,5 @@
     ///
     /// # Errors
     /// Returns an error if the object is malformed.
-    fn upstream(&self, o: &Object) -> Result<Listed, DecodeError>;
+    fn upstream(&self, o: &Object) -> Result<UpstreamEntry, DecodeError>;
 }
--- a/crates/honeypulley_mesh/src/doubts.rs
+++ b/crates/honeypulley_mesh/src/doubts.rs
@@ -4,7 +4,7 @@
 //! with the fleet's size. A request's own log line carries the belief by which its upstream was
 //! chosen, so that explaining a decision does not depend on lines that were left out.
 
-use honeypulley_policy::balance::Doubt;
+use honeypulley_policy::balance::Suspicion;
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::limits::Gcra;
 use honeypulley_policy::time::Time;
@@ -32,7 +32,7 @@
     /// Logs a doubt raised by a peer's report, within the rate limit.
     ///
     /// Returns whether a line was written.
-    pub fn note(&mut self, from: NameId, d: &Doubt, now: Time) -> bool {
+    pub fn note(&mut self, from: NameId, d: &Suspicion, now: Time) -> bool {
         if self.quota.take(BURST, now).is_err() {
             self.left_out += 1;
             return false;
--- a/crates/honeypulley_mesh/src/list.rs
+++ b/crates/honeypulley_mesh/src/list.rs
@@ -13,7 +13,7 @@
 
 use crate::readers::RETURN_TIME;
 use honeypulley_peer::listing::{Entry, EntryState};
-use honeypulley_policy::balance::Listed;
+use honeypulley_policy::balance::UpstreamEntry;
 use honeypulley_policy::revision::Revision;
 use honeypulley_policy::spec::{Member, MemberState};
 use honeypulley_policy::time::Time;
@@ -35,7 +35,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ListChange {
     /// An entry was added or changed.
-    Set(Listed),
+    Set(UpstreamEntry),
     /// An upstream has departed and gets no new work.
     Gone(String),
 }
@@ -54,7 +54,9 @@
     #[must_use]
     pub const fn state(&self) -> &'static str {
         match self {
-            Self::Set(Listed { member: Member { state: MemberState::Live, .. }, .. }) => "Live",
+            Self::Set(UpstreamEntry {
+                member: Member { state: MemberState::Live, .. }, ..
+            }) => "Live",
             Self::Set(_) => "Leaving",
             Self::Gone(_) => "Gone",
         }
@@ -70,15 +72,15 @@
 /// State of one entry.
 #[derive(Clone, Debug)]
 enum State {
-    Present(Listed),
+    Present(UpstreamEntry),
     /// No longer listed by the platform; departs at `due` unless it is listed again.
     Missing {
-        listed: Listed,
+        listed: UpstreamEntry,
         due: Time,
     },
     /// Departed, then listed again by a restored platform; present from `due` on.
     Relisted {
-        listed: Listed,
+        listed: UpstreamEntry,
         due: Time,
     },
     Gone {
@@ -130,7 +132,12 @@
     }
 
     /// Applies an entry that lists the upstream; returns the change for the serving thread.
-    fn apply_present(&mut self, shown: Listed, order: Order, now: Time) -> Option<ListChange> {
+    fn apply_present(
+        &mut self,
+        shown: UpstreamEntry,
+        order: Order,
+        now: Time,
+    ) -> Option<ListChange> {
         let present = match (&self.state, order) {
             (State::Present(_), Order::Newer) => shown,
             (State::Present(known), _) => latest(known, shown),
@@ -203,7 +210,7 @@
 /// Returns the later of two descriptions of an upstream, by the upstream's lifecycle.
 ///
 /// A later start supersedes an earlier one, and no incarnation reverts its shutdown.
-fn latest(known: &Listed, shown: Listed) -> Listed {
+fn latest(known: &UpstreamEntry, shown: UpstreamEntry) -> UpstreamEntry {
     let is_earlier = matches!((shown.born, known.born), (Some(s), Some(k)) if s < k);
     let is_same = shown.born == known.born && shown.member.addr == known.member.addr;
     let reverts =
@@ -212,7 +219,7 @@
 }
 
 /// Returns whether an upstream started after its departed incarnation.
-fn started_after(shown: &Listed, left: Option<u64>) -> bool {
+fn started_after(shown: &UpstreamEntry, left: Option<u64>) -> bool {
     matches!((shown.born, left), (Some(s), Some(l)) if s > l)
 }
 
@@ -463,7 +470,7 @@
     }
 
     /// Returns the upstreams that are listed or may still return.
-    pub fn present(&self) -> impl Iterator<Item = &Listed> {
+    pub fn present(&self) -> impl Iterator<Item = &UpstreamEntry> {
         self.rows.values().filter_map(|r| match &r.state {
             State::Present(l) | State::Missing { listed: l, .. } => Some(l),
             State::Relisted { .. } | State::Gone { .. } => None,
--- a/crates/honeypulley_mesh/src/serving.rs
+++ b/crates/honeypulley_mesh/src/serving.rs
@@ -362,7 +362,7 @@
             beliefs += usize::from(matches!(news, Update::Belief { .. }));
             policy.apply_limit_news(from, news, now);
             if let Update::Leaving { upstream } = news
-                && let Some(upstream) = policy.balancer().learn_leaving(upstream)
+                && let Some(upstream) = policy.balancer().record_shutdown(upstream)
             {
                 log::info!(upstream, from = from.0; "news: {upstream} announced its shutdown");
             }
--- a/crates/honeypulley_mesh/tests/boxes/support.rs
+++ b/crates/honeypulley_mesh/tests/boxes/support.rs
@@ -9,7 +9,7 @@
 use honeypulley_peer::listing::{BoxAddress, EntryState};
 use honeypulley_platform::api::{Changes, Object, Platform};
 use honeypulley_platform::memory::MemoryPlatform;
-use honeypulley_policy::balance::Listed;
+use honeypulley_policy::balance::UpstreamEntry;
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::revision::Revision;
 use honeypulley_policy::routes::{CallerLimits, RouteTable};
@@ -46,7 +46,7 @@
             .map_err(|e| malformed(e.to_string()))
     }
 
-    fn upstream(&self, o: &Object) -> Result<Listed, DecodeError> {
+    fn upstream(&self, o: &Object) -> Result<UpstreamEntry, DecodeError> {
         let text = String::from_utf8_lossy(&o.value);
         let (state, born) = text.split_once(':').unwrap_or((&text, ""));
         let state = match state {
@@ -64,7 +64,7 @@
             hall: "hall-a".to_owned(),
             state,
         };
-        Ok(Listed { member, slots: 3, cold: Duration::ZERO, born: born.parse().ok() })
+        Ok(UpstreamEntry { member, slots: 3, cold: Duration::ZERO, born: born.parse().ok() })
     }
 }
 
--- a/crates/honeypulley_mesh/tests/doubts.rs
+++ b/crates/honeypulley_mesh/tests/doubts.rs
@@ -1,15 +1,19 @@
 //! Rate limit on the log lines of doubts.
 
 use honeypulley_mesh::doubts::DoubtLog;
-use honeypulley_policy::balance::Doubt;
+use honeypulley_policy::balance::Suspicion;
 use honeypulley_policy::belief::Observation;
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::time::Time;
 
 #[test]
 fn doubt_lines_are_bounded_for_any_fleet_size() {
-    let doubt =
-        Doubt { upstream: "u1".to_owned(), what: Observation::Failure, before: 0.1, after: 0.9 };
+    let doubt = Suspicion {
+        upstream: "u1".to_owned(),
+        what: Observation::Failure,
+        before: 0.1,
+        after: 0.9,
+    };
     let mut log = DoubtLog::default();
     // 293 boxes that each report a failure every four seconds, for ten seconds.
     let is_logged = |i: u64| log.note(NameId(i), &doubt, Time::from_millis(i * 14));
--- a/crates/honeypulley_mesh/tests/list.rs
+++ b/crates/honeypulley_mesh/tests/list.rs
@@ -2,7 +2,7 @@
 
 use honeypulley_mesh::list::{ListChange, UpstreamList};
 use honeypulley_peer::listing::{Entry, EntryState};
-use honeypulley_policy::balance::Listed;
+use honeypulley_policy::balance::UpstreamEntry;
 use honeypulley_policy::revision::Revision;
 use honeypulley_policy::spec::{Member, MemberState};
 use honeypulley_policy::time::Time;
@@ -16,7 +16,7 @@
     Revision::new(1, number)
 }
 
-fn listed(name: &str, state: MemberState) -> Listed {
+fn listed(name: &str, state: MemberState) -> UpstreamEntry {
     let member = Member {
         name: name.to_owned(),
         service: "s".to_owned(),
@@ -24,7 +24,7 @@
         hall: "h".to_owned(),
         state,
     };
-    Listed { member, slots: 3, cold: Duration::ZERO, born: None }
+    UpstreamEntry { member, slots: 3, cold: Duration::ZERO, born: None }
 }
 
 fn live(name: &str, version: u64) -> Entry {
--- a/crates/honeypulley_mesh/tests/restored_list.rs
+++ b/crates/honeypulley_mesh/tests/restored_list.rs
@@ -2,7 +2,7 @@
 
 use honeypulley_mesh::list::{ListChange, UpstreamList};
 use honeypulley_peer::listing::{Entry, EntryState};
-use honeypulley_policy::balance::Listed;
+use honeypulley_policy::balance::UpstreamEntry;
 use honeypulley_policy::revision::Revision;
 use honeypulley_policy::spec::{Member, MemberState};
 use honeypulley_policy::time::Time;
@@ -19,7 +19,7 @@
     Revision::new(epoch, number)
 }
 
-fn listed(name: &str, state: MemberState, born: u64) -> Listed {
+fn listed(name: &str, state: MemberState, born: u64) -> UpstreamEntry {
     let member = Member {
         name: name.to_owned(),
         service: "s".to_owned(),
@@ -27,7 +27,7 @@
         hall: "h".to_owned(),
         state,
     };
-    Listed { member, slots: 3, cold: Duration::ZERO, born: Some(born) }
+    UpstreamEntry { member, slots: 3, cold: Duration::ZERO, born: Some(born) }
 }
 
 fn entry(name: &str, version: Revision, state: MemberState, born: u64) -> Entry {
--- a/crates/honeypulley_peer/src/listing.rs
+++ b/crates/honeypulley_peer/src/listing.rs
@@ -1,7 +1,7 @@
 //! Entries of the list of upstreams and news of boxes, as bytes.
 
 use crate::peer_capnp::datagram as wire;
-use honeypulley_policy::balance::{Listed, Update};
+use honeypulley_policy::balance::{Update, UpstreamEntry};
 use honeypulley_policy::belief::Observation;
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::fleet_limits::HallCount;
@@ -30,7 +30,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EntryState {
     /// It is there.
-    Present(Listed),
+    Present(UpstreamEntry),
     /// It is gone; if it is not back after the hold, it is taken to have left.
     Gone {
         /// Time to wait for its return.
@@ -87,7 +87,7 @@
     let state = if r.get_gone() {
         EntryState::Gone { hold: Duration::from_millis(r.get_hold_ms().into()) }
     } else {
-        EntryState::Present(Listed {
+        EntryState::Present(UpstreamEntry {
             member: Member {
                 name: name.clone(),
                 service: r.get_service()?.to_string()?,
--- a/crates/honeypulley_policy/benches/pick.rs
+++ b/crates/honeypulley_policy/benches/pick.rs
@@ -5,7 +5,7 @@
 //! Prints the median over several rounds in nanoseconds. Run with `cargo bench -p
 //! honeypulley_policy --bench pick`.
 
-use honeypulley_policy::balance::{Balancer, Listed, RetryRule, Update};
+use honeypulley_policy::balance::{Balancer, RetryRule, Update, UpstreamEntry};
 use honeypulley_policy::chooser::{Ask, Chooser};
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::router::Outcome;
@@ -29,7 +29,10 @@
             hall: "h".to_owned(),
             state: MemberState::Live,
         };
-        b.set_upstream(Listed { member, slots: 3, cold: Duration::ZERO, born: None }, Time::ZERO);
+        b.set_upstream(
+            UpstreamEntry { member, slots: 3, cold: Duration::ZERO, born: None },
+            Time::ZERO,
+        );
     }
     b
 }
--- a/crates/honeypulley_policy/src/balance.rs
+++ b/crates/honeypulley_policy/src/balance.rs
@@ -29,9 +29,9 @@
 use crate::time::Time;
 use admit::QueueAverage;
 use failing::FailureWindow;
-pub use heard::Doubt;
+pub use heard::Suspicion;
 use illness::FailureModes;
-pub use named::NamedLimit;
+pub use named::AdvertisedLimit;
 use named::RateLimits;
 pub use news::Update;
 use retry::RetryWindow;
@@ -58,7 +58,7 @@
 
 /// An upstream as listed, with its capacity and start time.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Listed {
+pub struct UpstreamEntry {
     /// Name, service, address, data hall and state.
     pub member: Member,
     /// Requests that it processes concurrently.
@@ -69,7 +69,7 @@
     pub born: Option<u64>,
 }
 
-impl Listed {
+impl UpstreamEntry {
     /// Returns the id of this incarnation of the upstream.
     ///
     /// A restarted upstream keeps no state, so nothing that was learnt of the previous
@@ -207,7 +207,7 @@
     /// Number of attempts of this box in flight.
     pub open: usize,
     /// The rate limit that it advertises.
-    pub limit: Option<NamedLimit>,
+    pub limit: Option<AdvertisedLimit>,
     /// Remaining backoff that it requested from this box.
     pub backoff: Option<Duration>,
 }
@@ -244,7 +244,7 @@
     unlisted: Unlisted,
     /// Boxes that reported an upstream as unreachable which then answered others, and when.
     contradicted: BTreeMap<NameId, Time>,
-    listed: BTreeMap<String, Listed>,
+    listed: BTreeMap<String, UpstreamEntry>,
     /// Latest ended incarnations of upstreams that have restarted.
     restarted: VecDeque<UpstreamKey>,
     news: Vec<Update>,
@@ -338,7 +338,7 @@
             let k = self.services.insert(Service::new(spec.clone(), past, now));
             self.by_name.insert(spec.name.clone(), k);
             self.services_by_id.insert(NameId::of(&spec.name), k);
-            let waiting: Vec<Listed> =
+            let waiting: Vec<UpstreamEntry> =
                 self.listed.values().filter(|l| l.member.service == spec.name).cloned().collect();
             for l in waiting {
                 self.add_upstream(k, &l, now);
@@ -355,9 +355,9 @@
     }
 
     /// Adds or updates a list entry.
-    pub fn set_upstream(&mut self, l: Listed, now: Time) {
+    pub fn set_upstream(&mut self, l: UpstreamEntry, now: Time) {
         let name = l.member.name.clone();
-        let previous = self.listed.get(&name).map(Listed::life).filter(|&id| id != l.life());
+        let previous = self.listed.get(&name).map(UpstreamEntry::life).filter(|&id| id != l.life());
         if let Some(k) = previous.and_then(|id| self.by_id.get(&id).copied()) {
             self.end_incarnation(k);
         }
@@ -396,7 +396,7 @@
         }
     }
 
-    fn add_upstream(&mut self, service: ServiceKey, l: &Listed, now: Time) {
+    fn add_upstream(&mut self, service: ServiceKey, l: &UpstreamEntry, now: Time) {
         let id = l.life();
         let leaving = l.member.state == MemberState::Leaving;
         if let Some(u) = self.by_id.get(&id).and_then(|&k| self.upstreams.get_mut(k)) {
@@ -471,7 +471,7 @@
             sick: u.shared.chance(now),
             path: u.path.chance(now),
             open: u.in_flight.len(),
-            limit: self.limit_of(k, now),
+            limit: self.advertised_limit(k, now),
             backoff: u.backoff_left(now),
         };
         self.upstreams.iter().map(row).collect()
--- a/crates/honeypulley_policy/src/balance/choice.rs
+++ b/crates/honeypulley_policy/src/balance/choice.rs
@@ -108,7 +108,7 @@
             busy: u.busy(now),
             near: u.local,
             load_age: u.remote.map(|r| now.since(r.at)),
-            limit: self.limit_of(k, now),
+            limit: self.advertised_limit(k, now),
             ..Inputs::default()
         })
     }
--- a/crates/honeypulley_policy/src/balance/heard.rs
+++ b/crates/honeypulley_policy/src/balance/heard.rs
@@ -20,7 +20,7 @@
 
 /// An upstream that became suspect by a peer's announcement.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Doubt {
+pub struct Suspicion {
     /// Name of the upstream.
     pub upstream: String,
     /// The announced observation.
@@ -33,7 +33,7 @@
 
 impl Balancer {
     /// Applies a peer's announcement; returns a suspicion that it raised.
-    pub fn heard(&mut self, from: NameId, news: Update, now: Time) -> Option<Doubt> {
+    pub fn heard(&mut self, from: NameId, news: Update, now: Time) -> Option<Suspicion> {
         match news {
             Update::Seen { upstream, what } => return self.apply_seen(from, upstream, what, now),
             Update::Open { upstream, count } => {
@@ -75,7 +75,7 @@
             }
             Update::Limit { upstream, rate } => self.apply_limit(upstream, rate, now),
             Update::Leaving { upstream } => {
-                self.learn_leaving(upstream);
+                self.record_shutdown(upstream);
             }
             // Counts of organisations, here and in the next variant, are not handled by the
             // balancer.
@@ -161,7 +161,7 @@
         upstream: NameId,
         what: Observation,
         now: Time,
-    ) -> Option<Doubt> {
+    ) -> Option<Suspicion> {
         let service = self.upstream_by_id(upstream)?.service;
         self.count_failure(service, what, now);
         let shed_share = self.services.get(service).map_or(0.0, |s| s.failures.shed_share());
@@ -180,7 +180,7 @@
         }
         let after = u.shared.chance(now);
         let became_suspect = before < SUSPECT_CHANCE && after >= SUSPECT_CHANCE;
-        became_suspect.then(|| Doubt { upstream: u.name.clone(), what, before, after })
+        became_suspect.then(|| Suspicion { upstream: u.name.clone(), what, before, after })
     }
 
     /// Returns the beliefs, rate limits and announced shutdowns for a newly started box.
--- a/crates/honeypulley_policy/src/balance/named.rs
+++ b/crates/honeypulley_policy/src/balance/named.rs
@@ -43,7 +43,7 @@
 
 /// Rate limit of one upstream, as known to this box.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct NamedLimit {
+pub struct AdvertisedLimit {
     /// Requests per second that it accepts from all boxes.
     pub rate: f64,
     /// Share of the rate that this data hall may use.
@@ -306,10 +306,10 @@
 
     /// Returns the rate limit of an upstream, if it advertises one.
     #[must_use]
-    pub fn limit_of(&self, k: UpstreamKey, now: Time) -> Option<NamedLimit> {
+    pub fn advertised_limit(&self, k: UpstreamKey, now: Time) -> Option<AdvertisedLimit> {
         let id = self.upstreams.get(k)?.id;
         let n = self.limits.in_force(id, now)?;
         let left = self.limits.buckets.level(id);
-        Some(NamedLimit { rate: n.rate, part: n.part, left })
+        Some(AdvertisedLimit { rate: n.rate, part: n.part, left })
     }
 }
--- a/crates/honeypulley_policy/src/balance/signals.rs
+++ b/crates/honeypulley_policy/src/balance/signals.rs
@@ -140,7 +140,7 @@
     }
 
     /// Records a shutdown announced by a peer; returns the upstream's name if it is new.
-    pub fn learn_leaving(&mut self, id: NameId) -> Option<&str> {
+    pub fn record_shutdown(&mut self, id: NameId) -> Option<&str> {
         let is_new = self.update_declared(id, Declared::record_shutdown);
         let u = self.by_id.get(&id).and_then(|&k| self.upstreams.get(k))?;
         is_new.then_some(u.name.as_str())
--- a/crates/honeypulley_policy/src/chooser.rs
+++ b/crates/honeypulley_policy/src/chooser.rs
@@ -1,6 +1,6 @@
 //! Interface between the serving path and a routing policy.
 
-use crate::balance::{BudgetUse, NamedLimit, Resend};
+use crate::balance::{AdvertisedLimit, BudgetUse, Resend};
 use crate::collector::NameId;
 use crate::revision::Revision;
 use crate::router::{AttemptKey, Outcome, Pick, Refusal, Router, ServiceKey, UpstreamKey};
@@ -60,7 +60,7 @@
     /// Age of the last load report, if there is one.
     pub load_age: Option<Duration>,
     /// Rate limit announced by the upstream.
-    pub limit: Option<NamedLimit>,
+    pub limit: Option<AdvertisedLimit>,
     /// Version and age of the list of upstreams.
     pub list: ListNow,
 }
--- a/crates/honeypulley_policy/tests/balance/lives.rs
+++ b/crates/honeypulley_policy/tests/balance/lives.rs
@@ -1,7 +1,7 @@
 //! Restarts of upstreams: state of the previous incarnation is dropped.
 
 use crate::{ask, balancer, failure, listed, report_load, send};
-use honeypulley_policy::balance::{Balancer, Listed, Update};
+use honeypulley_policy::balance::{Balancer, Update, UpstreamEntry};
 use honeypulley_policy::belief::Observation;
 use honeypulley_policy::chooser::Chooser;
 use honeypulley_policy::collector::NameId;
@@ -11,8 +11,8 @@
 use rstest::rstest;
 
 /// Returns an upstream whose process started at `born` ms.
-fn incarnation(name: &str, born: u64) -> Listed {
-    Listed { born: Some(born), ..listed(name, "h", MemberState::Live) }
+fn incarnation(name: &str, born: u64) -> UpstreamEntry {
+    UpstreamEntry { born: Some(born), ..listed(name, "h", MemberState::Live) }
 }
 
 /// Returns a box with `u0` and `u1`, both in their first incarnation.
--- a/crates/honeypulley_policy/tests/balance/main.rs
+++ b/crates/honeypulley_policy/tests/balance/main.rs
@@ -9,7 +9,7 @@
 mod signals;
 mod trials;
 
-use honeypulley_policy::balance::{Balancer, Listed, RetryHistory, RetryRule, Update};
+use honeypulley_policy::balance::{Balancer, RetryHistory, RetryRule, Update, UpstreamEntry};
 use honeypulley_policy::belief::Observation;
 use honeypulley_policy::chooser::{Ask, Chooser, LoadReport};
 use honeypulley_policy::collector::NameId;
@@ -24,7 +24,7 @@
 const RULE: RetryRule = RetryRule { ratio: 0.2, slack: 10.0, window: Duration::from_secs(10) };
 
 /// Returns an upstream with three slots.
-fn listed(name: &str, hall: &str, state: MemberState) -> Listed {
+fn listed(name: &str, hall: &str, state: MemberState) -> UpstreamEntry {
     let member = Member {
         name: name.to_owned(),
         service: "s".to_owned(),
@@ -32,7 +32,7 @@
         hall: hall.to_owned(),
         state,
     };
-    Listed { member, slots: 3, cold: Duration::ZERO, born: None }
+    UpstreamEntry { member, slots: 3, cold: Duration::ZERO, born: None }
 }
 
 /// Returns a box in data hall `h` with `n` local upstreams.
--- a/crates/honeypulley_policy/tests/balance/named.rs
+++ b/crates/honeypulley_policy/tests/balance/named.rs
@@ -1,7 +1,7 @@
 //! Rate limits that upstreams advertise.
 
 use super::{RULE, advertise, ask, balancer, listed};
-use honeypulley_policy::balance::{Balancer, FleetScope, Listed, RetryHistory, Update};
+use honeypulley_policy::balance::{Balancer, FleetScope, RetryHistory, Update, UpstreamEntry};
 use honeypulley_policy::chooser::{Ask, Chooser};
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::router::{Outcome, Pick, RefusalKind};
@@ -141,7 +141,7 @@
     let early = b.pick(&ask, &[], at(0)).expect("an upstream is available");
     announce_limit(&mut b, Some(1.0), 10);
     assert!(!advertise(&mut b, &early, None, at(20)), "the attempt is older than the limit");
-    let limit = b.limit_of(early.upstream, at(20)).expect("the limit still applies");
+    let limit = b.advertised_limit(early.upstream, at(20)).expect("the limit still applies");
     assert!((limit.rate - 1.0).abs() < 1e-9);
 }
 
@@ -163,7 +163,7 @@
     let mut b = balancer(2);
     announce_limit(&mut b, Some(0.1), 0);
     count_u0(&mut b, 0, 3_000, Some(0.1));
-    let restarted = Listed { born: Some(77), ..listed("u0", "h", MemberState::Live) };
+    let restarted = UpstreamEntry { born: Some(77), ..listed("u0", "h", MemberState::Live) };
     b.set_upstream(restarted, at(3_000));
     assert!(count_u0(&mut b, 3_000, 5_000, None) > 25, "half of the requests");
 }
@@ -174,8 +174,8 @@
     announce_limit(&mut b, Some(1.0), 0);
     let ask = ask(&b, false);
     let p = b.pick(&ask, &[], at(100)).expect("the limit is not exhausted");
-    assert!(b.limit_of(p.upstream, at(29_000)).is_some());
-    assert!(b.limit_of(p.upstream, at(31_000)).is_none());
+    assert!(b.advertised_limit(p.upstream, at(29_000)).is_some());
+    assert!(b.advertised_limit(p.upstream, at(31_000)).is_none());
 }
 
 #[test]
--- a/crates/honeypulley_policy/tests/balance/signals.rs
+++ b/crates/honeypulley_policy/tests/balance/signals.rs
@@ -1,7 +1,7 @@
 //! Signals that upstreams send in their answers, and how long they apply.
 
 use super::{ask, balancer, listed, send};
-use honeypulley_policy::balance::{Balancer, Listed, Update};
+use honeypulley_policy::balance::{Balancer, Update, UpstreamEntry};
 use honeypulley_policy::chooser::Chooser;
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::router::{Outcome, Pick, RefusalKind};
@@ -96,7 +96,7 @@
 fn a_restart_clears_an_announced_shutdown() {
     let mut b = balancer(3);
     announce_shutdown(&mut b, 0);
-    let restarted = Listed { born: Some(77), ..listed("u0", "h", MemberState::Live) };
+    let restarted = UpstreamEntry { born: Some(77), ..listed("u0", "h", MemberState::Live) };
     b.set_upstream(restarted, at(100));
     assert!(sent_to_u0(&mut b, 200) > 30, "a third of the requests");
 }
@@ -224,7 +224,10 @@
     b.set_upstream(listed("u0", "h", MemberState::Live), at(100));
     assert_eq!(count_u0(&mut b, true, (100, 3_000)), 0);
     reject(&mut b, 4_000, 3_000);
-    b.set_upstream(Listed { born: Some(7), ..listed("u0", "h", MemberState::Live) }, at(4_100));
+    b.set_upstream(
+        UpstreamEntry { born: Some(7), ..listed("u0", "h", MemberState::Live) },
+        at(4_100),
+    );
     assert!(count_u0(&mut b, true, (4_200, 5_000)) > 0);
 }
 
--- a/crates/honeypulley_policy/tests/floor.rs
+++ b/crates/honeypulley_policy/tests/floor.rs
@@ -3,7 +3,7 @@
 //! The boxes of one simulated data hall exchange their news without delay. The simulation uses no
 //! sockets and no clock, so it gives the same result in each run.
 
-use honeypulley_policy::balance::{Balancer, FleetScope, Listed, RetryRule};
+use honeypulley_policy::balance::{Balancer, FleetScope, RetryRule, UpstreamEntry};
 use honeypulley_policy::chooser::{Ask, Chooser};
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::router::{AttemptKey, Outcome};
@@ -149,7 +149,10 @@
             hall: "h".to_owned(),
             state: MemberState::Live,
         };
-        b.set_upstream(Listed { member, slots: 2, cold: Duration::ZERO, born: None }, Time::ZERO);
+        b.set_upstream(
+            UpstreamEntry { member, slots: 2, cold: Duration::ZERO, born: None },
+            Time::ZERO,
+        );
     }
     b
 }
--- a/crates/honeypulley_policy/tests/load/hall.rs
+++ b/crates/honeypulley_policy/tests/load/hall.rs
@@ -6,7 +6,7 @@
 use crate::plan::{Plan, Policy};
 use crate::worker::Worker;
 use honeypulley_policy::balance::{
-    Balancer, FleetScope, Listed, Resend, RetryHistory, RetryRule, Update,
+    Balancer, FleetScope, Resend, RetryHistory, RetryRule, Update, UpstreamEntry,
 };
 use honeypulley_policy::chooser::{Ask, Chooser};
 use honeypulley_policy::collector::NameId;
@@ -451,7 +451,7 @@
             state: MemberState::Live,
         };
         b.set_upstream(
-            Listed { member, slots: plan.slots, cold: Duration::ZERO, born: None },
+            UpstreamEntry { member, slots: plan.slots, cold: Duration::ZERO, born: None },
             Time::ZERO,
         );
     }
--- a/crates/honeypulley_proxy/tests/race/support.rs
+++ b/crates/honeypulley_proxy/tests/race/support.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use cadence::{NopMetricSink, StatsdClient};
-use honeypulley_policy::balance::{Balancer, Listed, RetryHistory, RetryRule};
+use honeypulley_policy::balance::{Balancer, RetryHistory, RetryRule, UpstreamEntry};
 use honeypulley_policy::chooser::{Ask, Chooser};
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::quarantine::{Fingerprint, Fingerprints};
@@ -55,7 +55,7 @@
             hall: "h".to_owned(),
             state: MemberState::Live,
         };
-        let listed = Listed { member, slots: 3, cold: Duration::ZERO, born: None };
+        let listed = UpstreamEntry { member, slots: 3, cold: Duration::ZERO, born: None };
         balancer.set_upstream(listed, Time::ZERO);
     }
     let service = balancer.service("s").expect("the service was added");
--- a/tools/trial/src/model.rs
+++ b/tools/trial/src/model.rs
@@ -4,7 +4,7 @@
 mod traffic;
 
 use crate::sizes::Size;
-use honeypulley_policy::balance::{Balancer, FleetScope, Listed, RetryRule, Update};
+use honeypulley_policy::balance::{Balancer, FleetScope, RetryRule, Update, UpstreamEntry};
 use honeypulley_policy::collector::{Collector, Judgement, NameId, Report, Verdict};
 use honeypulley_policy::naive::Naive;
 use honeypulley_policy::permits::{FloorContext, PermitRecord, PermitView};
@@ -211,7 +211,12 @@
     x.set_services(std::slice::from_ref(spec), Time::ZERO);
     x.set_fleet_scope(FleetScope { boxes: s.size.boxes, in_touch: true });
     for m in members {
-        let l = Listed { member: m.clone(), slots: s.size.slots, cold: Duration::ZERO, born: None };
+        let l = UpstreamEntry {
+            member: m.clone(),
+            slots: s.size.slots,
+            cold: Duration::ZERO,
+            born: None,
+        };
         x.set_upstream(l, Time::ZERO);
     }
     x
