--- a/crates/honeypulley_mesh/src/serving.rs
+++ b/crates/honeypulley_mesh/src/serving.rs
@@ -5,7 +5,7 @@
 use crate::state::Mesh;
 use async_trait::async_trait;
 use futures::future::BoxFuture;
-use honeypulley_policy::balance::{Balancer, BudgetUse, Resend, Update};
+use honeypulley_policy::balance::{Balancer, BudgetUsage, RetryReason, Update};
 use honeypulley_policy::chooser::{Ask, Chooser, Inputs, Place};
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::fleet_limits::{FleetLimits, LimitUse};
@@ -141,13 +141,13 @@
         self.balancer.may_send(ask, tried, now)
     }
 
-    fn spend_retry(&mut self, k: ServiceKey, why: Resend, now: Time) -> bool {
+    fn spend_retry(&mut self, k: ServiceKey, why: RetryReason, now: Time) -> bool {
         let spent = self.balancer.spend_retry(k, why, now);
         self.announce();
         spent
     }
 
-    fn budget_use(&self, k: ServiceKey, now: Time) -> BudgetUse {
+    fn budget_use(&self, k: ServiceKey, now: Time) -> BudgetUsage {
         self.balancer.budget_use(k, now)
     }
 
@@ -340,7 +340,7 @@
                 requester = self.mesh.asked.next() => {
                     let now = self.mesh.now();
                     let mut policy = self.policy.lock();
-                    let mut replies = policy.balancer().spendings(now);
+                    let mut replies = policy.balancer().retry_sums(now);
                     replies.extend(policy.balancer().beliefs(now));
                     drop(policy);
                     self.mesh.beliefs.push((requester, replies));
--- a/crates/honeypulley_policy/src/balance.rs
+++ b/crates/honeypulley_policy/src/balance.rs
@@ -35,7 +35,7 @@
 use named::RateLimits;
 pub use news::Update;
 use retry::RetryWindow;
-pub use retry::{BudgetUse, FleetScope, Resend, RetryHistory, RetryRule};
+pub use retry::{BudgetUsage, FleetScope, RetryHistory, RetryReason, RetryRule};
 use signals::{Declared, Unlisted};
 use sizes::AnswerSizes;
 use slotmap::SlotMap;
--- a/crates/honeypulley_policy/src/balance/choice.rs
+++ b/crates/honeypulley_policy/src/balance/choice.rs
@@ -2,7 +2,7 @@
 
 use super::doubt::latency_prior;
 use super::trial::ProbeRule;
-use super::{Attempt, Balancer, BudgetUse, DEFAULT_TARGET, Resend, Service, Upstream};
+use super::{Attempt, Balancer, BudgetUsage, DEFAULT_TARGET, RetryReason, Service, Upstream};
 use crate::belief::FAILS_SICK;
 use crate::chooser::{Ask, Chooser, Inputs, Place};
 use crate::router::{
@@ -143,13 +143,13 @@
         Ok(())
     }
 
-    fn spend_retry(&mut self, k: ServiceKey, why: Resend, now: Time) -> bool {
+    fn spend_retry(&mut self, k: ServiceKey, why: RetryReason, now: Time) -> bool {
         self.spend(k, why, now)
     }
 
-    fn budget_use(&self, k: ServiceKey, now: Time) -> BudgetUse {
+    fn budget_use(&self, k: ServiceKey, now: Time) -> BudgetUsage {
         let usage = |s: &Service| s.retries.usage(&self.retry_rule, now);
-        self.services.get(k).map_or_else(BudgetUse::default, usage)
+        self.services.get(k).map_or_else(BudgetUsage::default, usage)
     }
 
     fn answered(&mut self, k: AttemptKey, ok: bool, now: Time) {
--- a/crates/honeypulley_policy/src/balance/heard.rs
+++ b/crates/honeypulley_policy/src/balance/heard.rs
@@ -201,7 +201,7 @@
     ///
     /// Services for which this box does not know the whole window are left out.
     #[must_use]
-    pub fn spendings(&mut self, now: Time) -> Vec<Update> {
+    pub fn retry_sums(&mut self, now: Time) -> Vec<Update> {
         let rule = self.retry_rule;
         let sum = |s: &mut Service| {
             let sum = s.retries.sum(&rule, now)?;
--- a/crates/honeypulley_policy/src/balance/learn.rs
+++ b/crates/honeypulley_policy/src/balance/learn.rs
@@ -4,7 +4,7 @@
 use super::heard::CONTRADICTED_TIME;
 use super::illness::{HUNG_RATIO, OVERDUE_RATIO};
 use super::work::LatencyHistogram;
-use super::{AnswerKind, Attempt, Balancer, ConnectFailure, Resend, Update, Upstream};
+use super::{AnswerKind, Attempt, Balancer, ConnectFailure, RetryReason, Update, Upstream};
 use crate::belief::Observation;
 use crate::collector::NameId;
 use crate::router::{AttemptKey, Outcome, ServiceKey, UpstreamKey};
@@ -62,7 +62,7 @@
         }
     }
 
-    pub(super) fn spend(&mut self, k: ServiceKey, why: Resend, now: Time) -> bool {
+    pub(super) fn spend(&mut self, k: ServiceKey, why: RetryReason, now: Time) -> bool {
         let (rule, reach) = (self.retry_rule, self.reach);
         let Some(s) = self.services.get_mut(k) else { return false };
         if !s.retries.spend(&rule, reach, why, now) {
--- a/crates/honeypulley_policy/src/balance/retry.rs
+++ b/crates/honeypulley_policy/src/balance/retry.rs
@@ -39,7 +39,7 @@
 
 /// Reason for sending a request once more.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Resend {
+pub enum RetryReason {
     /// The previous attempt failed.
     Failed,
     /// The previous attempt is still in flight.
@@ -72,7 +72,7 @@
 
 /// Usage of a service's retry budget, for the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct BudgetUse {
+pub struct BudgetUsage {
     /// Requests of this box within the window.
     pub seen: usize,
     /// Retries and hedges of this box.
@@ -230,7 +230,7 @@
         &mut self,
         rule: &RetryRule,
         reach: FleetScope,
-        why: Resend,
+        why: RetryReason,
         now: Time,
     ) -> bool {
         self.expire(rule, now);
@@ -239,8 +239,8 @@
         let slack = self.slack(rule, now);
         let budget = self.budget(rule, now);
         let share = match why {
-            Resend::Failed => USABLE_SHARE,
-            Resend::Overdue { stuck } => HEDGE_EXTRA.mul_add(stuck, HEDGE_SHARE),
+            RetryReason::Failed => USABLE_SHARE,
+            RetryReason::Overdue { stuck } => HEDGE_EXTRA.mul_add(stuck, HEDGE_SHARE),
         };
         let equal_share = rule.ratio.mul_add(seen, slack / boxes);
         let own_limit =
@@ -275,8 +275,8 @@
     }
 
     /// Returns the usage of the budget.
-    pub(super) fn usage(&self, rule: &RetryRule, now: Time) -> BudgetUse {
-        BudgetUse {
+    pub(super) fn usage(&self, rule: &RetryRule, now: Time) -> BudgetUsage {
+        BudgetUsage {
             seen: self.arrivals.len(),
             own: self.own.len(),
             others: self.total_retries() - self.own.len(),
--- a/crates/honeypulley_policy/src/chooser.rs
+++ b/crates/honeypulley_policy/src/chooser.rs
@@ -1,6 +1,6 @@
 //! Interface between the serving path and a routing policy.
 
-use crate::balance::{AdvertisedLimit, BudgetUse, Resend};
+use crate::balance::{AdvertisedLimit, BudgetUsage, RetryReason};
 use crate::collector::NameId;
 use crate::revision::Revision;
 use crate::router::{AttemptKey, Outcome, Pick, Refusal, Router, ServiceKey, UpstreamKey};
@@ -117,10 +117,10 @@
         Ok(())
     }
     /// Spends one retry token and returns whether there was one.
-    fn spend_retry(&mut self, k: ServiceKey, why: Resend, now: Time) -> bool;
+    fn spend_retry(&mut self, k: ServiceKey, why: RetryReason, now: Time) -> bool;
     /// Returns the state of the retry budget of a service, for logging.
-    fn budget_use(&self, _: ServiceKey, _: Time) -> BudgetUse {
-        BudgetUse::default()
+    fn budget_use(&self, _: ServiceKey, _: Time) -> BudgetUsage {
+        BudgetUsage::default()
     }
     /// Records the head of a response; `ok` is false for a failure response.
     fn answered(&mut self, k: AttemptKey, ok: bool, now: Time);
@@ -152,7 +152,7 @@
     // The router detects overdue attempts in its own tick.
     fn still_open(&mut self, _: AttemptKey, _: Time) {}
 
-    fn spend_retry(&mut self, k: ServiceKey, _: Resend, _: Time) -> bool {
+    fn spend_retry(&mut self, k: ServiceKey, _: RetryReason, _: Time) -> bool {
         Self::spend_retry(self, k)
     }
 
--- a/crates/honeypulley_policy/tests/balance/budget.rs
+++ b/crates/honeypulley_policy/tests/balance/budget.rs
@@ -2,7 +2,9 @@
 
 use crate::RULE;
 use crate::balancer;
-use honeypulley_policy::balance::{Balancer, FleetScope, Resend, RetryHistory, RetryRule, Update};
+use honeypulley_policy::balance::{
+    Balancer, FleetScope, RetryHistory, RetryReason, RetryRule, Update,
+};
 use honeypulley_policy::chooser::Chooser;
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::spec::ServiceSpec;
@@ -14,7 +16,7 @@
     b.set_fleet_scope(FleetScope { boxes: 5, in_touch: true });
     let service = b.service("s").expect("service is configured");
     let now = Time::from_millis(100);
-    assert!(b.spend_retry(service, Resend::Failed, now));
+    assert!(b.spend_retry(service, RetryReason::Failed, now));
     for _ in 0..10 {
         b.heard(
             NameId::of("other"),
@@ -22,10 +24,10 @@
             now,
         );
     }
-    assert!(!b.spend_retry(service, Resend::Failed, now), "the fleet has used up its slack");
+    assert!(!b.spend_retry(service, RetryReason::Failed, now), "the fleet has used up its slack");
     let later = Time::from_millis(11_000);
     assert!(
-        b.spend_retry(service, Resend::Failed, later),
+        b.spend_retry(service, RetryReason::Failed, later),
         "the earlier retries have left the window"
     );
 }
@@ -43,7 +45,7 @@
         for i in 0..10 {
             let now = Time::from_millis(i * 100);
             b.arrived(service, now);
-            spent += usize::from(b.spend_retry(service, Resend::Failed, now));
+            spent += usize::from(b.spend_retry(service, RetryReason::Failed, now));
         }
     }
     // A fifth of 400 requests and the slack.
@@ -56,8 +58,8 @@
     b.set_fleet_scope(FleetScope { boxes: 3, in_touch: true });
     let service = b.service("s").expect("service is configured");
     let now = Time::from_millis(100);
-    while b.spend_retry(service, Resend::Overdue { stuck: 0.1 }, now) {}
-    assert!(b.spend_retry(service, Resend::Failed, now));
+    while b.spend_retry(service, RetryReason::Overdue { stuck: 0.1 }, now) {}
+    assert!(b.spend_retry(service, RetryReason::Failed, now));
 }
 
 /// Guards against exceeding the budget by extrapolating the fleet's traffic from one box.
@@ -71,7 +73,7 @@
         (0..100).for_each(|_| b.arrived(service, now));
         let retry = Update::Retry { service: NameId::of("s"), seen: announced, spent: 1 };
         b.heard(NameId::of("other"), retry, now);
-        (0..1_000).take_while(|_| b.spend_retry(service, Resend::Failed, now)).count()
+        (0..1_000).take_while(|_| b.spend_retry(service, RetryReason::Failed, now)).count()
     };
     assert!(max_retries(0) <= 30, "a fifth of 100 requests plus the slack of 10");
     assert!(max_retries(400) > 30, "announced traffic of peers adds to the budget");
@@ -90,7 +92,7 @@
     let denied = |spent| Update::Denied { service: NameId::of("s"), seen: 0, spent };
     let now = Time::from_millis(100);
     b.heard(other, denied(10), now);
-    assert!(!b.spend_retry(service, Resend::Failed, now), "the fleet has used up its slack");
+    assert!(!b.spend_retry(service, RetryReason::Failed, now), "the fleet has used up its slack");
     b.heard(other, denied(10), now);
     let retry = Update::Retry { service: NameId::of("s"), seen: 0, spent: 11 };
     b.heard(other, retry, now);
@@ -112,7 +114,7 @@
     for n in 0..6_000 {
         let i = n % 6;
         let key = boxes[i].service("s").expect("service is configured");
-        if !boxes[i].spend_retry(key, Resend::Failed, now) {
+        if !boxes[i].spend_retry(key, RetryReason::Failed, now) {
             continue;
         }
         spent += 1;
@@ -150,7 +152,7 @@
         b.set_fleet_scope(FleetScope { boxes: 1, in_touch: false });
         let service = b.service("s").expect("service is configured");
         let now = Time::from_millis(100);
-        (0..100).take_while(|_| b.spend_retry(service, Resend::Failed, now)).count()
+        (0..100).take_while(|_| b.spend_retry(service, RetryReason::Failed, now)).count()
     };
     let (before, after) = (spent(RetryHistory::Empty), spent(RetryHistory::Unknown));
     assert!(before >= 40, "{before} retries at once");
@@ -179,7 +181,7 @@
     let mut restarted = fleet().with_retry_history(RetryHistory::Unknown);
     restarted.set_services(&[], now);
     restarted.set_services(&[ServiceSpec::builder().name("s").build()], now);
-    let announced = running.spendings(now);
+    let announced = running.retry_sums(now);
     assert!(announced.contains(&Update::Spent { service, sum: 30 }), "{announced:?}");
     for n in announced {
         restarted.heard(NameId::of("old"), n, now);
@@ -191,7 +193,7 @@
     restarted.heard(other, Update::Retry { service, seen: 0, spent: 31 }, now);
     assert_eq!(restarted.budget_use(key, now).others, 31);
     let mut more = 0;
-    while restarted.spend_retry(key, Resend::Failed, now) {
+    while restarted.spend_retry(key, RetryReason::Failed, now) {
         more += 1;
     }
     assert!((1..=27).contains(&more), "{more} retries in addition to 31 of 58");
@@ -202,6 +204,6 @@
 fn restarted_boxes_announce_no_retry_sum() {
     let mut b = Balancer::new("h", RULE, 7);
     b.set_services(&[ServiceSpec::builder().name("s").build()], Time::ZERO);
-    let announced = b.spendings(Time::from_millis(100));
+    let announced = b.retry_sums(Time::from_millis(100));
     assert!(announced.is_empty(), "{announced:?}");
 }
--- a/crates/honeypulley_policy/tests/load/hall.rs
+++ b/crates/honeypulley_policy/tests/load/hall.rs
@@ -6,7 +6,7 @@
 use crate::plan::{Plan, Policy};
 use crate::worker::Worker;
 use honeypulley_policy::balance::{
-    Balancer, FleetScope, Resend, RetryHistory, RetryRule, Update, UpstreamEntry,
+    Balancer, FleetScope, RetryHistory, RetryReason, RetryRule, Update, UpstreamEntry,
 };
 use honeypulley_policy::chooser::{Ask, Chooser};
 use honeypulley_policy::collector::NameId;
@@ -358,7 +358,7 @@
         (r.repeatable || end == End::Rejected)
             && r.tried.len() < MAX_ATTEMPTS
             && b.is_in_time(&ask)
-            && b.spend_retry(ask.service, Resend::Failed, Time::from_millis(now))
+            && b.spend_retry(ask.service, RetryReason::Failed, Time::from_millis(now))
     }
 
     /// Reports the result of an attempt to the box.
--- a/crates/honeypulley_proxy/src/race.rs
+++ b/crates/honeypulley_proxy/src/race.rs
@@ -6,7 +6,7 @@
 use crate::gate::{Gate, Routed};
 use futures::future::{AbortHandle, Abortable, BoxFuture};
 use futures::stream::{FuturesUnordered, StreamExt};
-use honeypulley_policy::balance::Resend;
+use honeypulley_policy::balance::RetryReason;
 use honeypulley_policy::chooser::Ask;
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::quarantine::{End, Restriction};
@@ -218,7 +218,7 @@
         let Some(stuck) = stuck else { return };
         if self.restriction() == Restriction::Clear
             && self.can_repeat(progress)
-            && self.spend_retry(Resend::Overdue { stuck })
+            && self.spend_retry(RetryReason::Overdue { stuck })
         {
             self.gate.count("attempts.hedged");
             // If there is no other upstream, the first attempt simply continues.
@@ -245,7 +245,7 @@
 
     /// Returns whether a request with a failure answer should be retried on another upstream.
     fn should_retry(&self, progress: &mut Progress) -> bool {
-        self.can_repeat(progress) && self.spend_retry(Resend::Failed)
+        self.can_repeat(progress) && self.spend_retry(RetryReason::Failed)
     }
 
     /// Returns whether the request is repeatable and another attempt can finish in time.
@@ -293,9 +293,11 @@
         match failure {
             // Nothing was sent, so another attempt does not count as a retry.
             Failure::NotSent { .. } => is_safe && !matches!(restriction, Restriction::Held { .. }),
-            Failure::NotRun { .. } => !is_limited && is_safe && self.spend_retry(Resend::Failed),
+            Failure::NotRun { .. } => {
+                !is_limited && is_safe && self.spend_retry(RetryReason::Failed)
+            }
             Failure::Unknown { .. } => {
-                !is_limited && self.routed.ask.repeatable && self.spend_retry(Resend::Failed)
+                !is_limited && self.routed.ask.repeatable && self.spend_retry(RetryReason::Failed)
             }
         }
     }
@@ -306,7 +308,7 @@
             && self.source.is_available()
     }
 
-    fn spend_retry(&self, why: Resend) -> bool {
+    fn spend_retry(&self, why: RetryReason) -> bool {
         let now = self.gate.now();
         let mut policy = self.gate.chooser.lock();
         let spent = policy.spend_retry(self.routed.ask.service, why, now);
--- a/crates/honeypulley_proxy/tests/race/budget.rs
+++ b/crates/honeypulley_proxy/tests/race/budget.rs
@@ -1,7 +1,7 @@
 //! Tests the use of the retry budget by attempts.
 
 use crate::support::{TestGate, race, test_gate};
-use honeypulley_policy::balance::BudgetUse;
+use honeypulley_policy::balance::BudgetUsage;
 use honeypulley_supervisor::clock::Clock;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -22,7 +22,7 @@
     addr
 }
 
-fn budget_use(test: &TestGate) -> BudgetUse {
+fn budget_use(test: &TestGate) -> BudgetUsage {
     test.gate.chooser.lock().budget_use(test.service, test.gate.now())
 }
 
