--- a/crates/honeypulley_mesh/src/lists.rs
+++ b/crates/honeypulley_mesh/src/lists.rs
@@ -12,7 +12,7 @@
 use honeypulley_peer::listing::{Entry, EntryState};
 use honeypulley_peer::server::Held;
 use honeypulley_platform::api::Changes;
-use honeypulley_policy::chooser::ListNow;
+use honeypulley_policy::chooser::ListStatus;
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::revision::Revision;
 use std::collections::BTreeMap;
@@ -80,11 +80,11 @@
 impl Mesh {
     /// Returns the version and the age of this box's list.
     #[must_use]
-    pub fn list_now(&self) -> ListNow {
+    pub fn list_now(&self) -> ListStatus {
         let now = self.now();
         let lists = self.lists.lock();
         let age = lists.list.as_of().map(|at| now.since(at));
-        ListNow { version: lists.list.version(), age }
+        ListStatus { version: lists.list.version(), age }
     }
 
     /// Records that this box has received all changes of the platform up to now.
--- a/crates/honeypulley_mesh/src/serving.rs
+++ b/crates/honeypulley_mesh/src/serving.rs
@@ -6,7 +6,7 @@
 use async_trait::async_trait;
 use futures::future::BoxFuture;
 use honeypulley_policy::balance::{Balancer, BudgetUsage, RetryReason, Update};
-use honeypulley_policy::chooser::{Ask, Chooser, Inputs, Place};
+use honeypulley_policy::chooser::{Ask, Inputs, Place, RoutingPolicy};
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::fleet_limits::{FleetLimits, LimitUse};
 use honeypulley_policy::organisations::{Organisation, Organisations};
@@ -97,7 +97,7 @@
     }
 }
 
-impl Chooser for Announcer {
+impl RoutingPolicy for Announcer {
     fn pick(&mut self, ask: &Ask, tried: &[UpstreamKey], now: Time) -> Result<Pick, Refusal> {
         let picked = self.balancer.pick(ask, tried, now);
         self.announce();
@@ -120,12 +120,12 @@
         self.balancer.expected(ask, now)
     }
 
-    fn look_after(&self, ask: &Ask, age: Duration) -> Duration {
-        self.balancer.look_after(ask, age)
+    fn recheck_delay(&self, ask: &Ask, age: Duration) -> Duration {
+        self.balancer.recheck_delay(ask, age)
     }
 
-    fn still_open(&mut self, k: AttemptKey, now: Time) {
-        self.balancer.still_open(k, now);
+    fn is_in_flight(&mut self, k: AttemptKey, now: Time) {
+        self.balancer.is_in_flight(k, now);
         self.announce();
     }
 
@@ -137,8 +137,13 @@
         self.balancer.is_in_time(ask)
     }
 
-    fn may_send(&mut self, ask: &Ask, tried: &[UpstreamKey], now: Time) -> Result<(), Refusal> {
-        self.balancer.may_send(ask, tried, now)
+    fn check_available(
+        &mut self,
+        ask: &Ask,
+        tried: &[UpstreamKey],
+        now: Time,
+    ) -> Result<(), Refusal> {
+        self.balancer.check_available(ask, tried, now)
     }
 
     fn spend_retry(&mut self, k: ServiceKey, why: RetryReason, now: Time) -> bool {
@@ -166,8 +171,8 @@
         changes
     }
 
-    fn limit_withdrawn(&mut self, k: AttemptKey) -> bool {
-        let is_lifted = self.balancer.limit_withdrawn(k);
+    fn clear_limit(&mut self, k: AttemptKey) -> bool {
+        let is_lifted = self.balancer.clear_limit(k);
         self.announce();
         is_lifted
     }
--- a/crates/honeypulley_policy/benches/pick.rs
+++ b/crates/honeypulley_policy/benches/pick.rs
@@ -6,7 +6,7 @@
 //! honeypulley_policy --bench pick`.
 
 use honeypulley_policy::balance::{Balancer, RetryRule, Update, UpstreamEntry};
-use honeypulley_policy::chooser::{Ask, Chooser};
+use honeypulley_policy::chooser::{Ask, RoutingPolicy};
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::router::Outcome;
 use honeypulley_policy::spec::{Member, MemberState, ServiceSpec};
--- a/crates/honeypulley_policy/src/balance/choice.rs
+++ b/crates/honeypulley_policy/src/balance/choice.rs
@@ -4,7 +4,7 @@
 use super::trial::ProbeRule;
 use super::{Attempt, Balancer, BudgetUsage, DEFAULT_TARGET, RetryReason, Service, Upstream};
 use crate::belief::FAILS_SICK;
-use crate::chooser::{Ask, Chooser, Inputs, Place};
+use crate::chooser::{Ask, Inputs, Place, RoutingPolicy};
 use crate::router::{
     AttemptKey, Outcome, Pick, Reason, Refusal, RefusalKind, ServiceKey, UpstreamKey, jitter,
 };
@@ -53,7 +53,7 @@
     }
 }
 
-impl Chooser for Balancer {
+impl RoutingPolicy for Balancer {
     fn pick(&mut self, ask: &Ask, tried: &[UpstreamKey], now: Time) -> Result<Pick, Refusal> {
         let Some(s) = self.services.get(ask.service) else {
             return Err(self.refuse(RefusalKind::NoUpstream, NO_UPSTREAM_WAIT));
@@ -120,11 +120,11 @@
         Some(wait + self.latency_quantile(ask, 0.5))
     }
 
-    fn look_after(&self, ask: &Ask, age: Duration) -> Duration {
+    fn recheck_delay(&self, ask: &Ask, age: Duration) -> Duration {
         self.next_check(ask, age)
     }
 
-    fn still_open(&mut self, k: AttemptKey, now: Time) {
+    fn is_in_flight(&mut self, k: AttemptKey, now: Time) {
         self.record_in_flight(k, now);
     }
 
@@ -136,7 +136,12 @@
         ask.left.is_none_or(|left| left >= self.latency_quantile(ask, IN_TIME_QUANTILE))
     }
 
-    fn may_send(&mut self, ask: &Ask, tried: &[UpstreamKey], now: Time) -> Result<(), Refusal> {
+    fn check_available(
+        &mut self,
+        ask: &Ask,
+        tried: &[UpstreamKey],
+        now: Time,
+    ) -> Result<(), Refusal> {
         if self.sendable(ask, tried, now)?.is_empty() {
             return Err(self.refuse(RefusalKind::NoUpstream, NO_UPSTREAM_WAIT));
         }
@@ -166,7 +171,7 @@
         self.record_signals(k, s, now)
     }
 
-    fn limit_withdrawn(&mut self, k: AttemptKey) -> bool {
+    fn clear_limit(&mut self, k: AttemptKey) -> bool {
         self.withdraw_limit(k)
     }
 
--- a/crates/honeypulley_policy/src/balance/learn.rs
+++ b/crates/honeypulley_policy/src/balance/learn.rs
@@ -40,7 +40,7 @@
         self.failure_modes.record(what);
         let halls = self.reach.boxes as f64 / self.hall_boxes.max(1) as f64;
         let Some(s) = self.services.get_mut(service) else { return };
-        if what.may_lose() {
+        if what.is_failure() {
             s.failures.record_failure(halls, now);
         }
         if what == Observation::Shed {
--- a/crates/honeypulley_policy/src/belief.rs
+++ b/crates/honeypulley_policy/src/belief.rs
@@ -54,7 +54,7 @@
     /// A request of which nothing was sent goes to another upstream at no cost, so it is not a
     /// failure of its service.
     #[must_use]
-    pub const fn may_lose(self) -> bool {
+    pub const fn is_failure(self) -> bool {
         matches!(self, Self::Failure | Self::FailedWork | Self::Hung | Self::Shed)
     }
 
--- a/crates/honeypulley_policy/src/chooser.rs
+++ b/crates/honeypulley_policy/src/chooser.rs
@@ -62,12 +62,12 @@
     /// Rate limit announced by the upstream.
     pub limit: Option<AdvertisedLimit>,
     /// Version and age of the list of upstreams.
-    pub list: ListNow,
+    pub list: ListStatus,
 }
 
 /// Version and age of the list of upstreams that a box holds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ListNow {
+pub struct ListStatus {
     /// Revision up to which the list is complete.
     pub version: Revision,
     /// Time since the list was last confirmed complete, if it ever was.
@@ -75,7 +75,7 @@
 }
 
 /// A routing policy, which picks upstreams and learns from the results of attempts.
-pub trait Chooser: Debug + Send {
+pub trait RoutingPolicy: Debug + Send {
     /// Picks an upstream for one attempt and opens the attempt, skipping the `tried` ones.
     ///
     /// # Errors
@@ -96,9 +96,9 @@
         None
     }
     /// Returns the delay until an open attempt of this age is checked again.
-    fn look_after(&self, ask: &Ask, age: Duration) -> Duration;
+    fn recheck_delay(&self, ask: &Ask, age: Duration) -> Duration;
     /// Records that an attempt is still pending.
-    fn still_open(&mut self, k: AttemptKey, now: Time);
+    fn is_in_flight(&mut self, k: AttemptKey, now: Time);
     /// Returns whether a hedged attempt is worthwhile while another of this age is pending.
     ///
     /// `Some` holds the probability that the first attempt gets no response.
@@ -113,7 +113,7 @@
     ///
     /// # Errors
     /// Returns a [`Refusal`] if no upstream is available.
-    fn may_send(&mut self, _: &Ask, _: &[UpstreamKey], _: Time) -> Result<(), Refusal> {
+    fn check_available(&mut self, _: &Ask, _: &[UpstreamKey], _: Time) -> Result<(), Refusal> {
         Ok(())
     }
     /// Spends one retry token and returns whether there was one.
@@ -129,14 +129,14 @@
     /// Records the signals that an upstream sent in the head of a response.
     fn signalled(&mut self, k: AttemptKey, s: &Signals, now: Time) -> SignalChanges;
     /// Records a successful response without a rate limit; returns whether a limit was lifted.
-    fn limit_withdrawn(&mut self, _: AttemptKey) -> bool {
+    fn clear_limit(&mut self, _: AttemptKey) -> bool {
         false
     }
     /// Closes an attempt.
     fn finish(&mut self, k: AttemptKey, outcome: Outcome, now: Time);
 }
 
-impl Chooser for Router {
+impl RoutingPolicy for Router {
     fn pick(&mut self, ask: &Ask, tried: &[UpstreamKey], now: Time) -> Result<Pick, Refusal> {
         Self::pick(self, ask.service, ask.repeatable, tried, now)
     }
@@ -145,12 +145,12 @@
         self.upstream(k).map(|(name, addr)| Place { name, addr })
     }
 
-    fn look_after(&self, ask: &Ask, _: Duration) -> Duration {
+    fn recheck_delay(&self, ask: &Ask, _: Duration) -> Duration {
         self.stall_limit(ask.service)
     }
 
     // The router detects overdue attempts in its own tick.
-    fn still_open(&mut self, _: AttemptKey, _: Time) {}
+    fn is_in_flight(&mut self, _: AttemptKey, _: Time) {}
 
     fn spend_retry(&mut self, k: ServiceKey, _: RetryReason, _: Time) -> bool {
         Self::spend_retry(self, k)
--- a/crates/honeypulley_policy/src/lib.rs
+++ b/crates/honeypulley_policy/src/lib.rs
@@ -4,7 +4,7 @@
 //! events always give the same decisions. It performs no I/O, starts no threads and has no global
 //! state.
 //!
-//! Two policies implement [`chooser::Chooser`]. [`router`] routes the requests of one box and
+//! Two policies implement [`chooser::RoutingPolicy`]. [`router`] routes the requests of one box and
 //! ejects upstreams, using the failure statistics of [`ledger`], the evidence that [`collector`]
 //! aggregates over many boxes, and the fleet-wide limit on ejections in [`permits`]. [`balance`],
 //! for services with few requests per box, ejects nothing: it picks the upstream with the lowest
--- a/crates/honeypulley_policy/tests/balance/budget.rs
+++ b/crates/honeypulley_policy/tests/balance/budget.rs
@@ -5,7 +5,7 @@
 use honeypulley_policy::balance::{
     Balancer, FleetScope, RetryHistory, RetryReason, RetryRule, Update,
 };
-use honeypulley_policy::chooser::Chooser;
+use honeypulley_policy::chooser::RoutingPolicy;
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::spec::ServiceSpec;
 use honeypulley_policy::time::Time;
--- a/crates/honeypulley_policy/tests/balance/choice.rs
+++ b/crates/honeypulley_policy/tests/balance/choice.rs
@@ -3,7 +3,7 @@
 use crate::{RULE, ask, balancer, failure, listed, send};
 use honeypulley_policy::balance::{Balancer, Update};
 use honeypulley_policy::belief::{Belief, Observation};
-use honeypulley_policy::chooser::Chooser;
+use honeypulley_policy::chooser::RoutingPolicy;
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::router::{Outcome, RefusalKind};
 use honeypulley_policy::spec::{MemberState, ServiceSpec};
--- a/crates/honeypulley_policy/tests/balance/halls.rs
+++ b/crates/honeypulley_policy/tests/balance/halls.rs
@@ -8,7 +8,7 @@
 use crate::{RULE, ask, listed, report_load};
 use honeypulley_policy::balance::{Balancer, RetryHistory, Update};
 use honeypulley_policy::belief::Observation;
-use honeypulley_policy::chooser::{Ask, Chooser};
+use honeypulley_policy::chooser::{Ask, RoutingPolicy};
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::router::Outcome;
 use honeypulley_policy::spec::{MemberState, ServiceSpec};
--- a/crates/honeypulley_policy/tests/balance/lives.rs
+++ b/crates/honeypulley_policy/tests/balance/lives.rs
@@ -3,7 +3,7 @@
 use crate::{ask, balancer, failure, listed, report_load, send};
 use honeypulley_policy::balance::{Balancer, Update, UpstreamEntry};
 use honeypulley_policy::belief::Observation;
-use honeypulley_policy::chooser::Chooser;
+use honeypulley_policy::chooser::RoutingPolicy;
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::router::{Outcome, Pick};
 use honeypulley_policy::spec::MemberState;
--- a/crates/honeypulley_policy/tests/balance/main.rs
+++ b/crates/honeypulley_policy/tests/balance/main.rs
@@ -11,7 +11,7 @@
 
 use honeypulley_policy::balance::{Balancer, RetryHistory, RetryRule, Update, UpstreamEntry};
 use honeypulley_policy::belief::Observation;
-use honeypulley_policy::chooser::{Ask, Chooser, LoadReport};
+use honeypulley_policy::chooser::{Ask, LoadReport, RoutingPolicy};
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::router::{Outcome, Pick};
 use honeypulley_policy::signals::Signals;
@@ -86,7 +86,7 @@
 /// Advertises a rate limit or none in the answer to an attempt; returns whether it changed.
 fn advertise(b: &mut Balancer, pick: &Pick, limit: Option<f64>, now: Time) -> bool {
     let changes = b.signalled(pick.attempt, &Signals { limit, ..Signals::default() }, now);
-    if limit.is_none() { b.limit_withdrawn(pick.attempt) } else { changes.limit }
+    if limit.is_none() { b.clear_limit(pick.attempt) } else { changes.limit }
 }
 
 /// Returns a peer's announcement that an upstream failed at once.
--- a/crates/honeypulley_policy/tests/balance/named.rs
+++ b/crates/honeypulley_policy/tests/balance/named.rs
@@ -2,7 +2,7 @@
 
 use super::{RULE, advertise, ask, balancer, listed};
 use honeypulley_policy::balance::{Balancer, FleetScope, RetryHistory, Update, UpstreamEntry};
-use honeypulley_policy::chooser::{Ask, Chooser};
+use honeypulley_policy::chooser::{Ask, RoutingPolicy};
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::router::{Outcome, Pick, RefusalKind};
 use honeypulley_policy::spec::{MemberState, ServiceSpec};
--- a/crates/honeypulley_policy/tests/balance/open_attempts.rs
+++ b/crates/honeypulley_policy/tests/balance/open_attempts.rs
@@ -3,7 +3,7 @@
 use crate::{ask, balancer, report_load, send};
 use honeypulley_policy::balance::{Balancer, Update};
 use honeypulley_policy::belief::Observation;
-use honeypulley_policy::chooser::{Ask, Chooser};
+use honeypulley_policy::chooser::{Ask, RoutingPolicy};
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::router::{Outcome, RefusalKind};
 use honeypulley_policy::time::Time;
@@ -82,7 +82,7 @@
     let pick = b.pick(&ask, &[], Time::ZERO).expect("an upstream is available");
     b.remove_upstream("u0");
     let later = Time::from_millis(900);
-    b.still_open(pick.attempt, later);
+    b.is_in_flight(pick.attempt, later);
     assert_eq!(b.hedge(&ask, pick.attempt, later), None);
     b.finish(pick.attempt, Outcome::Abandoned, later);
 }
@@ -96,9 +96,9 @@
     let mut b = balancer(2);
     send(&mut b, 200, 10, true);
     let ask = ask(&b, true);
-    let first = b.look_after(&ask, Duration::ZERO);
+    let first = b.recheck_delay(&ask, Duration::ZERO);
     let early = first - Duration::from_millis(1);
-    let next = b.look_after(&ask, early);
+    let next = b.recheck_delay(&ask, early);
     assert!(next <= Duration::from_millis(10), "{next:?} after {early:?}");
 }
 
--- a/crates/honeypulley_policy/tests/balance/signals.rs
+++ b/crates/honeypulley_policy/tests/balance/signals.rs
@@ -2,7 +2,7 @@
 
 use super::{ask, balancer, listed, send};
 use honeypulley_policy::balance::{Balancer, Update, UpstreamEntry};
-use honeypulley_policy::chooser::Chooser;
+use honeypulley_policy::chooser::RoutingPolicy;
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::router::{Outcome, Pick, RefusalKind};
 use honeypulley_policy::signals::Signals;
--- a/crates/honeypulley_policy/tests/floor.rs
+++ b/crates/honeypulley_policy/tests/floor.rs
@@ -4,7 +4,7 @@
 //! sockets and no clock, so it gives the same result in each run.
 
 use honeypulley_policy::balance::{Balancer, FleetScope, RetryRule, UpstreamEntry};
-use honeypulley_policy::chooser::{Ask, Chooser};
+use honeypulley_policy::chooser::{Ask, RoutingPolicy};
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::router::{AttemptKey, Outcome};
 use honeypulley_policy::spec::{Member, MemberState, ServiceSpec};
@@ -104,7 +104,7 @@
         for w in &self.pending {
             let b = &mut self.boxes[w.from];
             if now < w.ends {
-                b.still_open(w.key, at);
+                b.is_in_flight(w.key, at);
                 continue;
             }
             if w.outcome == Outcome::Whole {
--- a/crates/honeypulley_policy/tests/load/hall.rs
+++ b/crates/honeypulley_policy/tests/load/hall.rs
@@ -8,7 +8,7 @@
 use honeypulley_policy::balance::{
     Balancer, FleetScope, RetryHistory, RetryReason, RetryRule, Update, UpstreamEntry,
 };
-use honeypulley_policy::chooser::{Ask, Chooser};
+use honeypulley_policy::chooser::{Ask, RoutingPolicy};
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::router::{AttemptKey, Outcome, Reason, UpstreamKey};
 use honeypulley_policy::signals::Signals;
@@ -326,7 +326,7 @@
         let Some(sent) = r.open else { return };
         if sent.ends > now {
             if let Some(key) = sent.key {
-                self.boxes[r.from].still_open(key, at);
+                self.boxes[r.from].is_in_flight(key, at);
             }
             self.requests.push(r);
             return;
@@ -379,7 +379,7 @@
                 b.answered(key, sent.end == End::Served, at);
                 b.signalled(key, &Signals { limit: sent.limit, ..Signals::default() }, at);
                 if sent.limit.is_none() {
-                    b.limit_withdrawn(key);
+                    b.clear_limit(key);
                 }
                 Outcome::Whole
             }
--- a/crates/honeypulley_proxy/src/gate.rs
+++ b/crates/honeypulley_proxy/src/gate.rs
@@ -6,7 +6,7 @@
 use crate::suspects::Suspects;
 use cadence::{Counted, CountedExt, StatsdClient, Timed};
 use futures::future::BoxFuture;
-use honeypulley_policy::chooser::{Ask, Chooser};
+use honeypulley_policy::chooser::{Ask, RoutingPolicy};
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::organisations::KeyDigest;
 use honeypulley_policy::time::Time;
@@ -122,7 +122,7 @@
 /// exists because the HTTP library requires `Send`.
 pub struct Gate {
     /// The policy.
-    pub chooser: Arc<Mutex<dyn Chooser>>,
+    pub chooser: Arc<Mutex<dyn RoutingPolicy>>,
     /// Routes in force.
     pub routes: Arc<dyn Routes>,
     /// Header names and formats.
--- a/crates/honeypulley_proxy/src/race.rs
+++ b/crates/honeypulley_proxy/src/race.rs
@@ -201,7 +201,7 @@
     fn next_check(&self, progress: &Progress) -> Option<Time> {
         let policy = self.gate.chooser.lock();
         let now = self.gate.now();
-        let next = |a: &InFlight| now + policy.look_after(&self.routed.ask, now.since(a.began));
+        let next = |a: &InFlight| now + policy.recheck_delay(&self.routed.ask, now.since(a.began));
         progress.in_flight.iter().map(next).min()
     }
 
@@ -211,7 +211,7 @@
         self.cancel_lost(progress);
         let stuck = {
             let mut policy = self.gate.chooser.lock();
-            progress.in_flight.iter().for_each(|a| policy.still_open(a.key, now));
+            progress.in_flight.iter().for_each(|a| policy.is_in_flight(a.key, now));
             let newest = progress.in_flight.last();
             newest.and_then(|a| policy.hedge(&self.routed.ask, a.key, now))
         };
@@ -260,7 +260,8 @@
     /// Returns whether another upstream is available for the request.
     fn has_upstream(&self, progress: &mut Progress) -> bool {
         let (ask, now) = (Ask { left: self.left(), ..self.routed.ask }, self.gate.now());
-        let refused = self.gate.chooser.lock().may_send(&ask, &progress.attempted, now).err();
+        let refused =
+            self.gate.chooser.lock().check_available(&ask, &progress.attempted, now).err();
         if let Some(r) = refused {
             self.log_refusal("retry", r, None);
             progress.retry_after = Some(r.retry_after);
--- a/crates/honeypulley_proxy/src/signals/record.rs
+++ b/crates/honeypulley_proxy/src/signals/record.rs
@@ -3,7 +3,7 @@
 use super::InvalidSignal;
 use crate::dialect::Dialect;
 use crate::gate::Gate;
-use honeypulley_policy::chooser::Chooser;
+use honeypulley_policy::chooser::RoutingPolicy;
 use honeypulley_policy::router::AttemptKey;
 use honeypulley_policy::signals::Signals;
 use honeypulley_policy::time::Time;
@@ -48,7 +48,12 @@
 }
 
 /// Records the signals of an answer's head.
-pub(crate) fn record(gate: &Gate, policy: &mut dyn Chooser, head: &ReceivedHead<'_>, now: Time) {
+pub(crate) fn record(
+    gate: &Gate,
+    policy: &mut dyn RoutingPolicy,
+    head: &ReceivedHead<'_>,
+    now: Time,
+) {
     let upstream = head.from;
     let (signals, faults) = head.read(&gate.dialect);
     for fault in faults {
@@ -91,7 +96,7 @@
     if d.limit.is_none() || !is_authoritative || d.limit(head.headers) != Ok(None) {
         return;
     }
-    if gate.chooser.lock().limit_withdrawn(head.attempt) {
+    if gate.chooser.lock().clear_limit(head.attempt) {
         let upstream = head.from;
         log::info!(upstream; "attempt: {upstream} no longer advertises a limit");
     }
--- a/crates/honeypulley_proxy/tests/race/support.rs
+++ b/crates/honeypulley_proxy/tests/race/support.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use cadence::{NopMetricSink, StatsdClient};
 use honeypulley_policy::balance::{Balancer, RetryHistory, RetryRule, UpstreamEntry};
-use honeypulley_policy::chooser::{Ask, Chooser};
+use honeypulley_policy::chooser::{Ask, RoutingPolicy};
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::quarantine::{Fingerprint, Fingerprints};
 use honeypulley_policy::router::ServiceKey;
@@ -59,7 +59,7 @@
         balancer.set_upstream(listed, Time::ZERO);
     }
     let service = balancer.service("s").expect("the service was added");
-    let chooser: Arc<Mutex<dyn Chooser>> = Arc::new(Mutex::new(balancer));
+    let chooser: Arc<Mutex<dyn RoutingPolicy>> = Arc::new(Mutex::new(balancer));
     let gate = Gate {
         chooser,
         routes: Arc::new(NoRoutes),
--- a/tools/trial/src/model/traffic.rs
+++ b/tools/trial/src/model/traffic.rs
@@ -4,7 +4,7 @@
     AttemptKey, Event, FAULT_AT, Fault, Outcome, Place, Policy, Request, SECOND_HOP, SIGMA,
     SPELL_EVERY, SPELL_FAILS, SPELL_TIME, World, number,
 };
-use honeypulley_policy::chooser::{Ask, Chooser};
+use honeypulley_policy::chooser::{Ask, RoutingPolicy};
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::router::{Reason, UpstreamKey};
 use std::time::Duration;
@@ -147,7 +147,7 @@
         let r = &self.requests[request];
         if let (false, Some(a)) = (r.over, r.attempt) {
             let b = r.b;
-            self.balancers[b].still_open(a, self.now);
+            self.balancers[b].is_in_flight(a, self.now);
             self.tell(b);
         }
     }
