--- a/crates/honeypulley_bundle/src/model.rs
+++ b/crates/honeypulley_bundle/src/model.rs
@@ -6,7 +6,7 @@
 use crate::parts::{Manifest, Split, bucket, split};
 use crate::sign::Trust;
 use honeypulley_ini::{Doc, IniError, Section, parse};
-use honeypulley_policy::spec::{Floor, Lean, Repeat, ServiceSpec};
+use honeypulley_policy::spec::{Floor, Lean, RepeatPolicy, ServiceSpec};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use xxhash_rust::xxh3::xxh3_64;
@@ -263,11 +263,11 @@
     }
 }
 
-fn repeat(s: &str) -> Result<Repeat, String> {
+fn repeat(s: &str) -> Result<RepeatPolicy, String> {
     match s {
-        "always" => Ok(Repeat::Always),
-        "reads" => Ok(Repeat::Reads),
-        "never" => Ok(Repeat::Never),
+        "always" => Ok(RepeatPolicy::Always),
+        "reads" => Ok(RepeatPolicy::Reads),
+        "never" => Ok(RepeatPolicy::Never),
         _ => Err(format!("expected always, reads or never, not '{s}'")),
     }
 }
--- a/crates/honeypulley_platform/src/permits.rs
+++ b/crates/honeypulley_platform/src/permits.rs
@@ -64,7 +64,7 @@
     let record = found.as_ref().and_then(decode).map(|(_, r)| r).unwrap_or_default();
     let next = match how {
         PermitChange::Eject(ctx) => record.eject(upstream, *ctx)?,
-        PermitChange::Canary => record.try_canary(upstream)?,
+        PermitChange::Canary => record.start_canary(upstream)?,
         PermitChange::Release => record.release(upstream)?,
         PermitChange::Retire { serial, seen } => record.retire(upstream, *serial, *seen)?,
     };
--- a/crates/honeypulley_policy/src/join.rs
+++ b/crates/honeypulley_policy/src/join.rs
@@ -13,7 +13,7 @@
 
 /// Source of the information on which a box joined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum JoinedBy {
+pub enum JoinSource {
     /// The version accepted by the platform.
     Platform,
     /// The versions in force on its peers.
@@ -51,7 +51,7 @@
     ///
     /// `version` is zero if the box has none, and `others` is the number of other live boxes.
     /// Returns the source for the call that joins, and `None` for all others.
-    pub fn decide(&mut self, version: u64, others: usize) -> Option<JoinedBy> {
+    pub fn decide(&mut self, version: u64, others: usize) -> Option<JoinSource> {
         if self.done || version == 0 {
             return None;
         }
@@ -62,6 +62,6 @@
             return None;
         }
         self.done = true;
-        Some(if by_platform { JoinedBy::Platform } else { JoinedBy::Peers })
+        Some(if by_platform { JoinSource::Platform } else { JoinSource::Peers })
     }
 }
--- a/crates/honeypulley_policy/src/lib.rs
+++ b/crates/honeypulley_policy/src/lib.rs
@@ -39,7 +39,7 @@
         limits::{Gcra, RetryBudget},
         permits::{FloorContext, PermitRecord, PermitView},
         router::{Attempt, Outcome, Pick, Refusal, Router, ServiceKey, UpstreamKey},
-        spec::{Lean, Member, MemberState, Repeat, ServiceSpec},
+        spec::{Lean, Member, MemberState, RepeatPolicy, ServiceSpec},
         time::Time,
     };
 }
--- a/crates/honeypulley_policy/src/permits.rs
+++ b/crates/honeypulley_policy/src/permits.rs
@@ -104,7 +104,7 @@
     ///
     /// # Errors
     /// Returns [`PermitError::State`] unless the upstream is ejected.
-    pub fn try_canary(&self, upstream: &str) -> Result<Self, PermitError> {
+    pub fn start_canary(&self, upstream: &str) -> Result<Self, PermitError> {
         match self.hold(upstream) {
             Some(Hold::Ejected) => Ok(self.with_hold(upstream, Hold::Canary)),
             _ => Err(PermitError::State),
--- a/crates/honeypulley_policy/src/router/choice.rs
+++ b/crates/honeypulley_policy/src/router/choice.rs
@@ -70,7 +70,7 @@
         }
         let max_connections = s.max_connections;
         let median = s.latency.median();
-        let may_probe = repeatable || s.spec.repeat == crate::spec::Repeat::Never;
+        let may_probe = repeatable || s.spec.repeat == crate::spec::RepeatPolicy::Never;
         candidates
             .retain(|(u, c)| *c != Class::Ejected && self.upstreams[*u].out < max_connections);
         let canaries = of_class(&candidates, |c| c == Class::Probation);
--- a/crates/honeypulley_policy/src/spec.rs
+++ b/crates/honeypulley_policy/src/spec.rs
@@ -7,7 +7,7 @@
 ///
 /// The safe methods of `Reads` are those of RFC 9110, section 9.2.2.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Repeat {
+pub enum RepeatPolicy {
     /// All requests may be repeated.
     Always,
     /// Only requests with safe methods (GET, HEAD, OPTIONS) may be repeated.
@@ -17,7 +17,7 @@
     Never,
 }
 
-impl Repeat {
+impl RepeatPolicy {
     /// Returns whether a request may be repeated, given whether its method is safe.
     #[must_use]
     pub const fn allows(self, safe: bool) -> bool {
@@ -100,7 +100,7 @@
     pub floor: Floor,
     /// Which requests may be repeated.
     #[builder(default)]
-    pub repeat: Repeat,
+    pub repeat: RepeatPolicy,
     /// Maximum duration of a request.
     #[builder(default = Duration::from_secs(2))]
     pub deadline: Duration,
--- a/crates/honeypulley_policy/tests/permits.rs
+++ b/crates/honeypulley_policy/tests/permits.rs
@@ -57,7 +57,7 @@
     for s in steps {
         let next = match *s {
             Step::Eject(i) => record.eject(&name(i), ctx),
-            Step::Canary(i) => record.try_canary(&name(i)),
+            Step::Canary(i) => record.start_canary(&name(i)),
             Step::Release(i) => record.release(&name(i)),
             Step::Retire(i) => retire(&record, &name(i), &seen, now, wait),
             Step::Confirm(b) => {
--- a/crates/honeypulley_policy/tests/router.rs
+++ b/crates/honeypulley_policy/tests/router.rs
@@ -6,7 +6,7 @@
     AttemptKey, Outcome, Pick, Reason, RefusalKind, Router, ServiceKey, UpstreamKey,
 };
 use honeypulley_policy::signals::Signals;
-use honeypulley_policy::spec::{Floor, Lean, Member, MemberState, Repeat, ServiceSpec};
+use honeypulley_policy::spec::{Floor, Lean, Member, MemberState, RepeatPolicy, ServiceSpec};
 use honeypulley_policy::time::Time;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -26,7 +26,7 @@
     }
 }
 
-fn spec(repeat: Repeat) -> ServiceSpec {
+fn spec(repeat: RepeatPolicy) -> ServiceSpec {
     let lean = Lean::DETECTION;
     ServiceSpec::builder()
         .name("s")
@@ -37,7 +37,7 @@
         .build()
 }
 
-fn router(repeat: Repeat) -> (Router, ServiceKey) {
+fn router(repeat: RepeatPolicy) -> (Router, ServiceKey) {
     let mut r = Router::new("b", "h", 7);
     r.set_services([spec(repeat)]);
     let all: Vec<Member> = (0..UPSTREAMS).map(member).collect();
@@ -86,7 +86,7 @@
 
 #[test]
 fn a_valid_permit_takes_all_work_and_a_lapsed_one_binds_nobody() {
-    let (mut r, k) = router(Repeat::Always);
+    let (mut r, k) = router(RepeatPolicy::Always);
     r.set_permits(&view(&["u0"], Time::from_millis(1_000)));
     let within = Time::from_millis(1_000) + (LEASE - Duration::from_millis(1));
     assert!(!pick_counts(&mut r, k, 500, true, within).contains_key("u0"));
@@ -101,7 +101,7 @@
 
 #[test]
 fn no_more_are_set_aside_than_the_floor_spares_even_if_all_look_sick() {
-    let (mut r, k) = router(Repeat::Always);
+    let (mut r, k) = router(RepeatPolicy::Always);
     for i in 0..UPSTREAMS {
         r.set_verdict(&suspect(&format!("u{i}"), 4_000), Time::ZERO);
     }
@@ -111,7 +111,7 @@
 
 #[test]
 fn leaving_upstreams_cost_the_ejected_ones_their_hold() {
-    let (mut r, k) = router(Repeat::Always);
+    let (mut r, k) = router(RepeatPolicy::Always);
     r.set_permits(&view(&["u0", "u1"], Time::ZERO));
     let now = Time::from_millis(10);
     assert_eq!(pick_counts(&mut r, k, 300, true, now).len(), 3);
@@ -126,7 +126,7 @@
 
 #[test]
 fn a_drain_mark_ends_new_work_at_once() {
-    let (mut r, k) = router(Repeat::Always);
+    let (mut r, k) = router(RepeatPolicy::Always);
     let p = r.pick(k, true, &[], Time::ZERO).expect("upstream is available");
     let name = r.upstream(p.upstream).expect("upstream is known").0.to_owned();
     r.drained(p.upstream, Time::ZERO);
@@ -135,7 +135,7 @@
 
 #[test]
 fn a_stall_is_reported_before_any_timeout() {
-    let (mut r, k) = router(Repeat::Always);
+    let (mut r, k) = router(RepeatPolicy::Always);
     let mut now = Time::ZERO;
     for _ in 0..200 {
         let p = r.pick(k, true, &[], now).expect("upstream is available");
@@ -158,7 +158,7 @@
 
 #[test]
 fn a_box_that_ejects_reports_additional_weight() {
-    let (mut r, k) = router(Repeat::Always);
+    let (mut r, k) = router(RepeatPolicy::Always);
     let mut now = Time::ZERO;
     let (mut bad, mut failed) = (0, 0);
     for _ in 0..400 {
@@ -177,7 +177,7 @@
 
 #[test]
 fn canary_requests_are_repeatable() {
-    let (mut r, k) = router(Repeat::Reads);
+    let (mut r, k) = router(RepeatPolicy::Reads);
     let probation = Verdict { judgement: Judgement::Probation, ..suspect("u0", 60_000) };
     r.set_verdict(&probation, Time::ZERO);
     let now = Time::from_millis(1);
@@ -191,7 +191,7 @@
 
 #[test]
 fn a_full_service_refuses_with_a_retry_time() {
-    let (mut r, k) = router(Repeat::Always);
+    let (mut r, k) = router(RepeatPolicy::Always);
     // Two boxes share twenty connections to each upstream, so each box may open ten.
     let open: Vec<AttemptKey> =
         std::iter::from_fn(|| r.pick(k, true, &[], Time::ZERO).ok()).map(|p| p.attempt).collect();
@@ -205,7 +205,7 @@
 fn a_rate_limit_is_divided_among_the_boxes() {
     let mut r = Router::new("b", "h", 7);
     r.set_members(&[], 4, Time::ZERO);
-    r.set_services([ServiceSpec { rate: Some(40.0), ..spec(Repeat::Always) }]);
+    r.set_services([ServiceSpec { rate: Some(40.0), ..spec(RepeatPolicy::Always) }]);
     let k = r.service("s").expect("service is configured");
     let admitted = (0..1_000).filter(|i| r.admit(k, Time::from_millis(i * 10)).is_ok()).count();
     // Ten requests per second for ten seconds, plus the burst.
@@ -221,7 +221,7 @@
     #[case] false_load: f64,
     #[case] share: std::ops::Range<usize>,
 ) {
-    let (mut r, k) = router(Repeat::Always);
+    let (mut r, k) = router(RepeatPolicy::Always);
     let (mut now, mut picked) = (Time::ZERO, 0);
     for _ in 0..1_000 {
         now = now + Duration::from_millis(20);
@@ -258,7 +258,7 @@
 
 #[test]
 fn an_overloaded_service_sheds_requests_and_recovers() {
-    let (mut r, k) = router(Repeat::Always);
+    let (mut r, k) = router(RepeatPolicy::Always);
     let mut now = Time::ZERO;
     assert_eq!(serve(&mut r, k, &mut now, 500, 50), 0, "healthy load is admitted");
     // Response times of half the two-second deadline exceed the target of a quarter, so about half
@@ -271,7 +271,7 @@
 
 #[test]
 fn a_restart_at_a_new_address_clears_the_state() {
-    let (mut r, k) = router(Repeat::Always);
+    let (mut r, k) = router(RepeatPolicy::Always);
     r.set_verdict(&suspect("u0", 60_000), Time::ZERO);
     let mut list: Vec<Member> = (0..UPSTREAMS).map(member).collect();
     list[0].addr = "10.0.0.99:80".into();
@@ -281,7 +281,7 @@
 
 #[test]
 fn a_restart_at_the_same_address_ends_draining() {
-    let (mut r, k) = router(Repeat::Always);
+    let (mut r, k) = router(RepeatPolicy::Always);
     let p = r.pick(k, true, &[], Time::ZERO).expect("upstream is available");
     let name = r.upstream(p.upstream).expect("upstream is known").0.to_owned();
     r.drained(p.upstream, Time::ZERO);
@@ -324,7 +324,7 @@
     /// Compares with a reference model of open attempts, drained and ejected upstreams.
     #[test]
     fn picks_agree_with_a_naive_bookkeeper(steps in prop::collection::vec(step(), 1..200)) {
-        let (mut r, k) = router(Repeat::Always);
+        let (mut r, k) = router(RepeatPolicy::Always);
         let (mut now, mut open) = (Time::ZERO, Vec::<(AttemptKey, UpstreamKey, String)>::new());
         let mut drained: Vec<String> = Vec::new();
         let mut ejected: Option<(String, Time)> = None;
@@ -385,7 +385,7 @@
 /// Guards against requests within the backoff that an upstream requested with a rejection.
 #[test]
 fn no_request_is_sent_during_a_backoff() {
-    let (mut r, s) = router(Repeat::Always);
+    let (mut r, s) = router(RepeatPolicy::Always);
     r.set_members(&[member(0), member(1)], 1, Time::ZERO);
     let backoff = Some(Duration::from_secs(3));
     let p = r.pick(s, true, &[], Time::ZERO).expect("two upstreams are available");
--- a/tools/trial/src/model.rs
+++ b/tools/trial/src/model.rs
@@ -10,7 +10,7 @@
 use honeypulley_policy::permits::{FloorContext, PermitRecord, PermitView};
 use honeypulley_policy::placement::COLLECTORS;
 use honeypulley_policy::router::{AttemptKey, Outcome, Router, ServiceKey, UpstreamKey};
-use honeypulley_policy::spec::{Floor, Lean, Member, MemberState, Repeat, ServiceSpec};
+use honeypulley_policy::spec::{Floor, Lean, Member, MemberState, RepeatPolicy, ServiceSpec};
 use honeypulley_policy::time::Time;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
@@ -246,7 +246,7 @@
         let spec = ServiceSpec::builder()
             .name("s")
             .floor(Floor::Share(FLOOR))
-            .repeat(Repeat::Always)
+            .repeat(RepeatPolicy::Always)
             .deadline(s.size.deadline)
             .lean(lean)
             .connections(s.size.connections)
--- a/tools/trial/src/model/control.rs
+++ b/tools/trial/src/model/control.rs
@@ -50,7 +50,7 @@
         let ctx = FloorContext { live: n, floor: Floor::Share(FLOOR).count(n) };
         let next = match j {
             Judgement::Suspect => self.record.eject(&name(up), ctx),
-            Judgement::Probation => self.record.try_canary(&name(up)),
+            Judgement::Probation => self.record.start_canary(&name(up)),
             Judgement::Clear => self.record.release(&name(up)),
         };
         let Ok(next) = next else { return };
