--- a/crates/honeypulley_mesh/src/serving.rs
+++ b/crates/honeypulley_mesh/src/serving.rs
@@ -8,7 +8,7 @@
 use honeypulley_policy::balance::{Balancer, BudgetUsage, RetryReason, Update};
 use honeypulley_policy::chooser::{Ask, Inputs, Place, RoutingPolicy};
 use honeypulley_policy::collector::NameId;
-use honeypulley_policy::fleet_limits::{FleetLimits, LimitUse};
+use honeypulley_policy::fleet_limits::{FleetRateLimiter, LimitUsage};
 use honeypulley_policy::organisations::{Organisation, Organisations};
 use honeypulley_policy::router::{AttemptKey, Outcome, Pick, Refusal, ServiceKey, UpstreamKey};
 use honeypulley_policy::routes::{RequestKind, Route, RouteTable};
@@ -30,14 +30,14 @@
 #[derive(Debug)]
 pub struct Announcer {
     balancer: Balancer,
-    limits: FleetLimits,
+    limits: FleetRateLimiter,
     mesh: Arc<Mesh>,
 }
 
 impl Announcer {
     /// Wraps a balancer and limits, whose news is sent to the other boxes of `mesh`.
     #[must_use]
-    pub const fn new(balancer: Balancer, limits: FleetLimits, mesh: Arc<Mesh>) -> Self {
+    pub const fn new(balancer: Balancer, limits: FleetRateLimiter, mesh: Arc<Mesh>) -> Self {
         Self { balancer, limits, mesh }
     }
 
@@ -47,7 +47,7 @@
     }
 
     /// Returns the organisations' limits, to be updated with what other duties received.
-    pub const fn limits(&mut self) -> &mut FleetLimits {
+    pub const fn limits(&mut self) -> &mut FleetRateLimiter {
         &mut self.limits
     }
 
@@ -78,10 +78,10 @@
     fn apply_limit_news(&mut self, from: NameId, news: Update, now: Time) {
         match news {
             Update::Admitted { subject, sum } => {
-                self.limits.heard_box(from, subject, sum, now);
+                self.limits.apply_box_count(from, subject, sum, now);
             }
             Update::HallAdmitted { subject, count } => {
-                self.limits.heard_hall(from, subject, count, now);
+                self.limits.apply_hall_count(from, subject, count, now);
             }
             _ => {}
         }
@@ -303,7 +303,7 @@
 }
 
 /// Refuses a request over its organisation's limit, with a time to retry after.
-fn over_limit(request: &str, o: &Organisation, wait: Duration, usage: LimitUse) -> OwnAnswer {
+fn over_limit(request: &str, o: &Organisation, wait: Duration, usage: LimitUsage) -> OwnAnswer {
     log::info!(
         request, organisation = &*o.name, rate = usage.rate as f32, level = usage.level as f32,
         hall = usage.hall, others = usage.others,
--- a/crates/honeypulley_policy/src/balance/named.rs
+++ b/crates/honeypulley_policy/src/balance/named.rs
@@ -10,7 +10,7 @@
 use super::{Balancer, RetryHistory, Service, Update, Upstream};
 use crate::chooser::Ask;
 use crate::collector::NameId;
-use crate::fleet_limits::{FleetLimits, LimitRule, RateLimit, Scope};
+use crate::fleet_limits::{FleetRateLimiter, LimitRule, RateLimit, Scope};
 use crate::placement::weight;
 use crate::router::{AttemptKey, UpstreamKey};
 use crate::time::Time;
@@ -82,13 +82,13 @@
 /// Rate limits that upstreams advertise, as known to this box.
 #[derive(Debug)]
 pub(super) struct RateLimits {
-    buckets: FleetLimits,
+    buckets: FleetRateLimiter,
     entries: BTreeMap<NameId, LimitEntry>,
 }
 
 impl RateLimits {
     pub(super) fn new(hall: &str, past: RetryHistory, seed: u64) -> Self {
-        let buckets = FleetLimits::new(hall, BUCKET_RULE, past, seed, Time::ZERO);
+        let buckets = FleetRateLimiter::new(hall, BUCKET_RULE, past, seed, Time::ZERO);
         Self { buckets, entries: BTreeMap::new() }
     }
 
@@ -99,7 +99,7 @@
 
     /// Records what a box of this data hall sent to an upstream.
     pub(super) fn apply_admitted(&mut self, from: NameId, id: NameId, sum: u16, now: Time) {
-        self.buckets.heard_box(from, id, sum, now);
+        self.buckets.apply_box_count(from, id, sum, now);
     }
 
     /// Returns the limit of an upstream unless it has expired.
--- a/crates/honeypulley_policy/src/fleet_limits.rs
+++ b/crates/honeypulley_policy/src/fleet_limits.rs
@@ -1,6 +1,6 @@
 //! Rate limits enforced across all boxes, with local state only.
 //!
-//! [`FleetLimits`] keeps one token bucket for each limited subject. It charges the bucket for
+//! [`FleetRateLimiter`] keeps one token bucket for each limited subject. It charges the bucket for
 //! the admissions of every box, as far as they have been announced to this one.
 
 mod buckets;
@@ -9,6 +9,6 @@
 mod rule;
 mod usage;
 
-pub use buckets::{FleetLimits, LimitUse};
+pub use buckets::{FleetRateLimiter, LimitUsage};
 pub use hall_count::HallCount;
 pub use rule::{LimitRule, RateLimit, Scope};
--- a/crates/honeypulley_policy/src/fleet_limits/buckets.rs
+++ b/crates/honeypulley_policy/src/fleet_limits/buckets.rs
@@ -47,7 +47,7 @@
 
 /// Snapshot of a subject's limit and usage, for the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct LimitUse {
+pub struct LimitUsage {
     /// Allowed requests per second.
     pub rate: f64,
     /// Remaining tokens; negative if the limit was exceeded.
@@ -62,7 +62,7 @@
 
 /// Enforces fleet-wide rate limits on one box.
 #[derive(Debug)]
-pub struct FleetLimits {
+pub struct FleetRateLimiter {
     rule: LimitRule,
     hall: NameId,
     scope: Scope,
@@ -71,13 +71,13 @@
     started_at: Time,
     limits: BTreeMap<NameId, RateLimit>,
     usages: BTreeMap<NameId, Usage>,
-    /// Subjects with changes since the last call of [`FleetLimits::due`].
+    /// Subjects with changes since the last call of [`FleetRateLimiter::due`].
     changed: BTreeSet<NameId>,
     news: Vec<Update>,
     rng: fastrand::Rng,
 }
 
-impl FleetLimits {
+impl FleetRateLimiter {
     /// Creates the limits of a box in data hall `hall`.
     #[must_use]
     pub fn new(hall: &str, rule: LimitRule, past: RetryHistory, seed: u64, now: Time) -> Self {
@@ -175,7 +175,7 @@
     }
 
     /// Applies the cumulative count of a peer in this data hall.
-    pub fn heard_box(&mut self, from: NameId, id: NameId, sum: u16, now: Time) {
+    pub fn apply_box_count(&mut self, from: NameId, id: NameId, sum: u16, now: Time) {
         let Some(&limit) = self.limits.get(&id) else { return };
         let scope = self.scope;
         let u = self.usage_mut(id, limit, now);
@@ -191,7 +191,7 @@
     }
 
     /// Applies the cumulative count of a data hall, announced by one of its boxes.
-    pub fn heard_hall(&mut self, from: NameId, id: NameId, count: HallCount, now: Time) {
+    pub fn apply_hall_count(&mut self, from: NameId, id: NameId, count: HallCount, now: Time) {
         let Some(&limit) = self.limits.get(&id) else { return };
         let (scope, window) = (self.scope, self.rule.window);
         let is_own_hall = count.hall == self.hall;
@@ -259,10 +259,10 @@
 
     /// Returns a snapshot of a subject's usage, for the log.
     #[must_use]
-    pub fn usage_of(&mut self, id: NameId, now: Time) -> Option<LimitUse> {
+    pub fn usage_of(&mut self, id: NameId, now: Time) -> Option<LimitUsage> {
         let u = self.usages.get_mut(&id)?;
         let oldest = u.remote_halls.values().map(|f| now.since(f.heard_at)).max();
-        Some(LimitUse {
+        Some(LimitUsage {
             rate: u.limit.rate,
             level: u.bucket.level,
             hall: u.hall_recent.sum(now),
--- a/crates/honeypulley_policy/src/organisations.rs
+++ b/crates/honeypulley_policy/src/organisations.rs
@@ -1,7 +1,7 @@
 //! Organisations that own callers' keys and have rate limits over the whole fleet.
 //!
 //! [`Organisations`] looks up the organisation for a key. The limits are enforced by
-//! [`FleetLimits`](crate::fleet_limits::FleetLimits).
+//! [`FleetRateLimiter`](crate::fleet_limits::FleetRateLimiter).
 
 mod directory;
 
--- a/crates/honeypulley_policy/tests/limits/strategies.rs
+++ b/crates/honeypulley_policy/tests/limits/strategies.rs
@@ -3,7 +3,7 @@
 use crate::fleet::{BoxId, Fleet, Message};
 use honeypulley_policy::balance::{RetryHistory, Update};
 use honeypulley_policy::collector::NameId;
-use honeypulley_policy::fleet_limits::{FleetLimits, LimitRule, RateLimit, Scope};
+use honeypulley_policy::fleet_limits::{FleetRateLimiter, LimitRule, RateLimit, Scope};
 use honeypulley_policy::placement::weight;
 use honeypulley_policy::time::Time;
 use std::time::Duration;
@@ -26,7 +26,7 @@
 /// Strategy in use: admissions are announced within a hall, and sums between halls.
 pub struct Told {
     this_box: BoxId,
-    limits: FleetLimits,
+    limits: FleetRateLimiter,
 }
 
 impl Told {
@@ -37,7 +37,7 @@
         past: RetryHistory,
         now: Time,
     ) -> Self {
-        let mut limits = FleetLimits::new(
+        let mut limits = FleetRateLimiter::new(
             &fleet.hall_name(this_box),
             LimitRule::default(),
             past,
@@ -82,10 +82,10 @@
         self.set_scope(fleet, now);
         match m.news {
             Update::Admitted { subject, sum } => {
-                self.limits.heard_box(from, subject, sum, now);
+                self.limits.apply_box_count(from, subject, sum, now);
             }
             Update::HallAdmitted { subject, count } => {
-                self.limits.heard_hall(from, subject, count, now);
+                self.limits.apply_hall_count(from, subject, count, now);
             }
             _ => {}
         }
@@ -247,7 +247,7 @@
 pub struct Hall {
     this_box: BoxId,
     share: HallShare,
-    limits: FleetLimits,
+    limits: FleetRateLimiter,
 }
 
 impl Hall {
@@ -258,7 +258,7 @@
         past: RetryHistory,
         now: Time,
     ) -> Self {
-        let mut limits = FleetLimits::new(
+        let mut limits = FleetRateLimiter::new(
             &fleet.hall_name(this_box),
             UPSTREAM_RULE,
             past,
@@ -299,7 +299,7 @@
     fn receive(&mut self, fleet: &Fleet, m: &Message, now: Time, _: &mut Vec<Message>) {
         self.set_scope(fleet, now);
         if let Update::Admitted { subject, sum } = m.news {
-            self.limits.heard_box(fleet.id(m.from), subject, sum, now);
+            self.limits.apply_box_count(fleet.id(m.from), subject, sum, now);
         }
     }
 
