--- a/crates/honeypulley_mesh/src/held.rs
+++ b/crates/honeypulley_mesh/src/held.rs
@@ -8,7 +8,7 @@
 use crate::store::{MIN_BACKOFF, StoreDuty, back_off};
 use bytes::Bytes;
 use honeypulley_platform::api::{Expect, PlatformError};
-use honeypulley_policy::quarantine::{Fingerprint, Hold, RequestNews, Scope};
+use honeypulley_policy::quarantine::{Fingerprint, Hold, RequestUpdate, Scope};
 use honeypulley_policy::revision::Revision;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
@@ -132,8 +132,8 @@
     }
 
     /// Converts a stored hold to news of it.
-    fn request_news(&self, unix_now: Duration) -> RequestNews {
-        RequestNews::Held {
+    fn request_news(&self, unix_now: Duration) -> RequestUpdate {
+        RequestUpdate::Held {
             request: Fingerprint(self.request),
             scope: if self.content { Scope::Content } else { Scope::Caller },
             left: Duration::from_millis(self.until_ms).saturating_sub(unix_now),
--- a/crates/honeypulley_mesh/src/peers/tell.rs
+++ b/crates/honeypulley_mesh/src/peers/tell.rs
@@ -8,7 +8,7 @@
 use honeypulley_peer::codec::{Body, Datagram, MAX_ITEMS, Told};
 use honeypulley_peer::requests::MAX_REQUESTS;
 use honeypulley_policy::balance::Update;
-use honeypulley_policy::quarantine::{Hold, RequestNews};
+use honeypulley_policy::quarantine::{Hold, RequestUpdate};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -155,7 +155,7 @@
         self.broadcast_requests(selected.map(Hold::news).collect());
     }
 
-    fn broadcast_requests(&self, items: Vec<RequestNews>) {
+    fn broadcast_requests(&self, items: Vec<RequestUpdate>) {
         let seq = self.sequence.borrow_mut().next();
         self.broadcast(Body::Requests { seq, items }, LIST_FORWARDERS);
     }
--- a/crates/honeypulley_mesh/src/state.rs
+++ b/crates/honeypulley_mesh/src/state.rs
@@ -18,7 +18,7 @@
 use honeypulley_policy::balance::{Balancer, FleetScope, Update};
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::fleet_limits::Scope;
-use honeypulley_policy::quarantine::{Quarantine, RequestNews};
+use honeypulley_policy::quarantine::{Quarantine, RequestUpdate};
 use honeypulley_policy::revision::Revision;
 use honeypulley_policy::routes::RouteTable;
 use honeypulley_policy::time::Time;
@@ -123,7 +123,7 @@
     /// News received from other boxes, for the serving thread.
     pub news_in: Ring<(NameId, Update)>,
     /// News of requests during which upstreams failed, to be sent to the other boxes.
-    pub requests_out: Ring<RequestNews>,
+    pub requests_out: Ring<RequestUpdate>,
     /// Boxes that have just started and request this box's beliefs about upstreams.
     pub asked: Ring<SocketAddr>,
     /// Replies to those requests, each with the address of the requesting box.
--- a/crates/honeypulley_mesh/src/suspects.rs
+++ b/crates/honeypulley_mesh/src/suspects.rs
@@ -1,14 +1,14 @@
 //! Quarantine of requests suspected of crashing upstreams, shared by all boxes.
 
 use crate::state::Mesh;
-use honeypulley_policy::quarantine::{Hold, Quarantine, RequestNews};
+use honeypulley_policy::quarantine::{Hold, Quarantine, RequestUpdate};
 use honeypulley_proxy::suspects::{Suspects, log_hold};
 
 impl Suspects for Mesh {
     fn update(&self, change: &mut dyn FnMut(&mut Quarantine)) {
         let mut quarantine = self.quarantine.lock();
         change(&mut quarantine);
-        let (holds, news) = (quarantine.take_holds(), quarantine.take_news());
+        let (holds, news) = (quarantine.take_new_holds(), quarantine.take_news());
         drop(quarantine);
         holds.iter().for_each(log_hold);
         news.into_iter().for_each(|n| self.requests_out.push(n));
@@ -29,7 +29,7 @@
     }
 
     /// Applies a peer's updates about suspect requests.
-    pub fn hear_requests(&self, items: Vec<RequestNews>) {
+    pub fn hear_requests(&self, items: Vec<RequestUpdate>) {
         let now = self.now();
         self.update(&mut |q| items.iter().for_each(|&news| q.heard(news, now)));
     }
--- a/crates/honeypulley_mesh/tests/boxes/restore.rs
+++ b/crates/honeypulley_mesh/tests/boxes/restore.rs
@@ -9,7 +9,7 @@
 use honeypulley_platform::api::{Changes, Expect, Freshness, Object, Platform, PlatformError};
 use honeypulley_platform::memory::MemoryPlatform;
 use honeypulley_policy::collector::NameId;
-use honeypulley_policy::quarantine::{Fingerprint, RequestNews, Scope};
+use honeypulley_policy::quarantine::{Fingerprint, RequestUpdate, Scope};
 use honeypulley_policy::revision::Revision;
 use honeypulley_supervisor::tree::{Stop, Tree};
 use rstest::rstest;
@@ -88,8 +88,8 @@
     }
 }
 
-fn hold() -> RequestNews {
-    RequestNews::Held {
+fn hold() -> RequestUpdate {
+    RequestUpdate::Held {
         request: Fingerprint(7),
         scope: Scope::Content,
         left: Duration::from_secs(60),
--- a/crates/honeypulley_peer/src/codec.rs
+++ b/crates/honeypulley_peer/src/codec.rs
@@ -11,7 +11,7 @@
 use honeypulley_bundle::head::Version;
 use honeypulley_policy::balance::Update;
 use honeypulley_policy::collector::{Judgement, NameId, Report, ReportItem, Verdict};
-use honeypulley_policy::quarantine::RequestNews;
+use honeypulley_policy::quarantine::RequestUpdate;
 use honeypulley_policy::revision::Revision;
 use std::time::Duration;
 
@@ -92,7 +92,7 @@
         /// Number of this news at its sender, of the same row as those of [`Body::News`].
         seq: u32,
         /// What is known.
-        items: Vec<RequestNews>,
+        items: Vec<RequestUpdate>,
     },
 }
 
--- a/crates/honeypulley_peer/src/requests.rs
+++ b/crates/honeypulley_peer/src/requests.rs
@@ -3,7 +3,7 @@
 use crate::codec::millis;
 use crate::peer_capnp::datagram as wire;
 use honeypulley_policy::collector::NameId;
-use honeypulley_policy::quarantine::{Fingerprint, RequestNews, Scope};
+use honeypulley_policy::quarantine::{Fingerprint, RequestUpdate, Scope};
 use std::time::Duration;
 
 /// Items that fit one datagram that is sent on; each takes up to 34 bytes.
@@ -11,12 +11,12 @@
 
 pub(crate) fn write_requests(
     mut list: capnp::struct_list::Builder<'_, wire::request_item::Owned>,
-    news: &[RequestNews],
+    news: &[RequestUpdate],
 ) {
     for (i, n) in news.iter().enumerate() {
         let mut row = list.reborrow().get(i as u32);
         match *n {
-            RequestNews::Ended { request, scope, upstream, began, ended } => {
+            RequestUpdate::Ended { request, scope, upstream, began, ended } => {
                 row.set_kind(wire::RequestKind::Ended);
                 row.set_request(request.0);
                 row.set_content(scope == Scope::Content);
@@ -24,12 +24,12 @@
                 row.set_began_ms(millis(began));
                 row.set_span_ms(millis(ended));
             }
-            RequestNews::Served { request, ago } => {
+            RequestUpdate::Served { request, ago } => {
                 row.set_kind(wire::RequestKind::Served);
                 row.set_request(request.0);
                 row.set_span_ms(millis(ago));
             }
-            RequestNews::Held { request, scope, left, trials } => {
+            RequestUpdate::Held { request, scope, left, trials } => {
                 row.set_kind(wire::RequestKind::Held);
                 row.set_request(request.0);
                 row.set_content(scope == Scope::Content);
@@ -42,25 +42,25 @@
 
 pub(crate) fn read_requests(
     list: capnp::struct_list::Reader<'_, wire::request_item::Owned>,
-) -> Result<Vec<RequestNews>, capnp::Error> {
+) -> Result<Vec<RequestUpdate>, capnp::Error> {
     list.iter().take(MAX_REQUESTS).map(read_request).collect()
 }
 
-fn read_request(r: wire::request_item::Reader<'_>) -> Result<RequestNews, capnp::Error> {
+fn read_request(r: wire::request_item::Reader<'_>) -> Result<RequestUpdate, capnp::Error> {
     let request = Fingerprint(r.get_request());
     let scope = if r.get_content() { Scope::Content } else { Scope::Caller };
     let span = Duration::from_millis(r.get_span_ms().into());
     Ok(match r.get_kind()? {
-        wire::RequestKind::Ended => RequestNews::Ended {
+        wire::RequestKind::Ended => RequestUpdate::Ended {
             request,
             scope,
             upstream: NameId(r.get_upstream()),
             began: Duration::from_millis(r.get_began_ms().into()),
             ended: span,
         },
-        wire::RequestKind::Served => RequestNews::Served { request, ago: span },
+        wire::RequestKind::Served => RequestUpdate::Served { request, ago: span },
         wire::RequestKind::Held => {
-            RequestNews::Held { request, scope, left: span, trials: r.get_trials() }
+            RequestUpdate::Held { request, scope, left: span, trials: r.get_trials() }
         }
     })
 }
--- a/crates/honeypulley_peer/tests/wire.rs
+++ b/crates/honeypulley_peer/tests/wire.rs
@@ -11,7 +11,7 @@
 use honeypulley_policy::belief::Observation;
 use honeypulley_policy::collector::{Judgement, NameId, Report, ReportItem, Verdict};
 use honeypulley_policy::fleet_limits::HallCount;
-use honeypulley_policy::quarantine::{Fingerprint, RequestNews, Scope};
+use honeypulley_policy::quarantine::{Fingerprint, RequestUpdate, Scope};
 use honeypulley_policy::revision::Revision;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -112,15 +112,15 @@
             let (request, span) = (Fingerprint(request), Duration::from_millis(span.into()));
             let began = Duration::from_millis(began.into());
             match kind {
-                0 => RequestNews::Ended {
+                0 => RequestUpdate::Ended {
                     request,
                     scope,
                     upstream: NameId(upstream),
                     began,
                     ended: span,
                 },
-                1 => RequestNews::Served { request, ago: span },
-                _ => RequestNews::Held { request, scope, left: span, trials },
+                1 => RequestUpdate::Served { request, ago: span },
+                _ => RequestUpdate::Held { request, scope, left: span, trials },
             }
         },
     );
@@ -218,7 +218,7 @@
 
 #[test]
 fn the_longest_news_of_requests_fit_a_datagram_that_is_sent_on() {
-    let item = RequestNews::Ended {
+    let item = RequestUpdate::Ended {
         request: Fingerprint(u64::MAX - 1),
         scope: Scope::Content,
         upstream: NameId(u64::MAX - 2),
--- a/crates/honeypulley_policy/src/quarantine.rs
+++ b/crates/honeypulley_policy/src/quarantine.rs
@@ -83,7 +83,7 @@
 
 /// Announcement about a request; points in time are sent as durations before the present.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RequestNews {
+pub enum RequestUpdate {
     /// An upstream crashed during a request.
     Ended {
         /// The request.
@@ -124,7 +124,7 @@
 #[derive(Debug, Default)]
 pub struct Quarantine {
     records: BTreeMap<Fingerprint, Record>,
-    news: Vec<RequestNews>,
+    news: Vec<RequestUpdate>,
     new_holds: Vec<Hold>,
 }
 
@@ -146,7 +146,7 @@
     /// Records that an upstream crashed during a request of this box.
     pub fn record_crash(&mut self, request: Fingerprints, end: End, now: Time) {
         for (scope, request) in request.each() {
-            self.news.push(RequestNews::Ended {
+            self.news.push(RequestUpdate::Ended {
                 request,
                 scope,
                 upstream: end.upstream,
@@ -168,7 +168,7 @@
     pub fn clear(&mut self, request: Fingerprint, now: Time) -> bool {
         let was_suspected = self.records.get_mut(&request).is_some_and(|r| r.record_success(now));
         if was_suspected {
-            self.news.push(RequestNews::Served { request, ago: Duration::ZERO });
+            self.news.push(RequestUpdate::Served { request, ago: Duration::ZERO });
         }
         was_suspected
     }
@@ -186,18 +186,18 @@
     }
 
     /// Applies an announcement of a peer.
-    pub fn heard(&mut self, news: RequestNews, now: Time) {
+    pub fn heard(&mut self, news: RequestUpdate, now: Time) {
         match news {
-            RequestNews::Ended { request, scope, upstream, began, ended } => {
+            RequestUpdate::Ended { request, scope, upstream, began, ended } => {
                 let end = End { upstream, began: now.before(began), ended: now.before(ended) };
                 self.add_crash(request, scope, end, now);
             }
-            RequestNews::Served { request, ago } => {
+            RequestUpdate::Served { request, ago } => {
                 if let Some(r) = self.records.get_mut(&request) {
                     r.record_success(now.before(ago));
                 }
             }
-            RequestNews::Held { request, scope, left, trials } => {
+            RequestUpdate::Held { request, scope, left, trials } => {
                 let r = self.record(request, scope, now);
                 r.announced_at = now;
                 let hold = r.apply_hold(left, trials, now).then(|| r.hold(request, now)).flatten();
@@ -245,12 +245,12 @@
     }
 
     /// Drains the queued announcements.
-    pub fn take_news(&mut self) -> Vec<RequestNews> {
+    pub fn take_news(&mut self) -> Vec<RequestUpdate> {
         std::mem::take(&mut self.news)
     }
 
     /// Drains the holds added since the last call, for the log.
-    pub fn take_holds(&mut self) -> Vec<Hold> {
+    pub fn take_new_holds(&mut self) -> Vec<Hold> {
         std::mem::take(&mut self.new_holds)
     }
 
@@ -330,9 +330,9 @@
 impl Hold {
     /// Returns an announcement of this hold.
     #[must_use]
-    pub const fn news(&self) -> RequestNews {
+    pub const fn news(&self) -> RequestUpdate {
         let Self { request, scope, left, trials, .. } = *self;
-        RequestNews::Held { request, scope, left, trials }
+        RequestUpdate::Held { request, scope, left, trials }
     }
 }
 
--- a/crates/honeypulley_policy/tests/quarantine/main.rs
+++ b/crates/honeypulley_policy/tests/quarantine/main.rs
@@ -4,7 +4,7 @@
 
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::quarantine::{
-    End, Fingerprint, Fingerprints, MOST_RECORDS, Quarantine, RequestNews, Restriction, Scope,
+    End, Fingerprint, Fingerprints, MOST_RECORDS, Quarantine, RequestUpdate, Restriction, Scope,
 };
 use honeypulley_policy::time::Time;
 use std::time::Duration;
@@ -99,7 +99,7 @@
 
 #[test]
 fn reordered_announcements_lead_to_a_hold() {
-    let announced = |n: u64| RequestNews::Ended {
+    let announced = |n: u64| RequestUpdate::Ended {
         request: BAD.caller,
         scope: Scope::Caller,
         upstream: NameId(n),
@@ -182,7 +182,9 @@
     q.record_rejection(BAD, at(10_000));
     q.record_rejection(BAD, at(10_100));
     let announced = q.take_news();
-    assert!(matches!(announced[..], [RequestNews::Held { request, .. }] if request == BAD.caller));
+    assert!(
+        matches!(announced[..], [RequestUpdate::Held { request, .. }] if request == BAD.caller)
+    );
     let mut new_box = Quarantine::default();
     new_box.heard(announced[0], at(50));
     assert!(is_held(&mut new_box, at(60)));
--- a/crates/honeypulley_proxy/src/suspects.rs
+++ b/crates/honeypulley_proxy/src/suspects.rs
@@ -57,7 +57,7 @@
     fn update(&self, change: &mut dyn FnMut(&mut Quarantine)) {
         let mut quarantine = self.0.lock();
         change(&mut quarantine);
-        quarantine.take_holds().iter().for_each(log_hold);
+        quarantine.take_new_holds().iter().for_each(log_hold);
         // There are no peers to send announcements to.
         drop(quarantine.take_news());
     }
