--- a/crates/honeypulley_mesh/src/serving.rs
+++ b/crates/honeypulley_mesh/src/serving.rs
@@ -6,7 +6,7 @@
 use async_trait::async_trait;
 use futures::future::BoxFuture;
 use honeypulley_policy::balance::{Balancer, BudgetUsage, RetryReason, Update};
-use honeypulley_policy::chooser::{Ask, Inputs, Place, RoutingPolicy};
+use honeypulley_policy::chooser::{Endpoint, PickInputs, RequestInfo, RoutingPolicy};
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::fleet_limits::{FleetRateLimiter, LimitUsage};
 use honeypulley_policy::organisations::{Organisation, Organisations};
@@ -54,7 +54,7 @@
     /// Queues pending news for broadcast.
     fn announce(&mut self) {
         // Admissions come first, so that one is sent with the attempt that follows it.
-        let news = self.limits.take_news().into_iter().chain(self.balancer.take_news());
+        let news = self.limits.take_updates().into_iter().chain(self.balancer.take_updates());
         news.for_each(|n| self.mesh.news_out.push(n));
     }
 
@@ -98,13 +98,18 @@
 }
 
 impl RoutingPolicy for Announcer {
-    fn pick(&mut self, ask: &Ask, tried: &[UpstreamKey], now: Time) -> Result<Pick, Refusal> {
+    fn pick(
+        &mut self,
+        ask: &RequestInfo,
+        tried: &[UpstreamKey],
+        now: Time,
+    ) -> Result<Pick, Refusal> {
         let picked = self.balancer.pick(ask, tried, now);
         self.announce();
         picked
     }
 
-    fn place(&self, k: UpstreamKey) -> Option<Place<'_>> {
+    fn place(&self, k: UpstreamKey) -> Option<Endpoint<'_>> {
         self.balancer.place(k)
     }
 
@@ -112,15 +117,15 @@
         self.balancer.has_restarted(k)
     }
 
-    fn inputs(&self, k: UpstreamKey, now: Time) -> Inputs {
-        Inputs { list: self.mesh.list_now(), ..self.balancer.inputs(k, now) }
+    fn inputs(&self, k: UpstreamKey, now: Time) -> PickInputs {
+        PickInputs { list: self.mesh.list_now(), ..self.balancer.inputs(k, now) }
     }
 
-    fn expected(&self, ask: &Ask, now: Time) -> Option<Duration> {
+    fn expected(&self, ask: &RequestInfo, now: Time) -> Option<Duration> {
         self.balancer.expected(ask, now)
     }
 
-    fn recheck_delay(&self, ask: &Ask, age: Duration) -> Duration {
+    fn recheck_delay(&self, ask: &RequestInfo, age: Duration) -> Duration {
         self.balancer.recheck_delay(ask, age)
     }
 
@@ -129,17 +134,17 @@
         self.announce();
     }
 
-    fn hedge(&self, ask: &Ask, k: AttemptKey, now: Time) -> Option<f64> {
+    fn hedge(&self, ask: &RequestInfo, k: AttemptKey, now: Time) -> Option<f64> {
         self.balancer.hedge(ask, k, now)
     }
 
-    fn is_in_time(&self, ask: &Ask) -> bool {
-        self.balancer.is_in_time(ask)
+    fn can_meet_deadline(&self, ask: &RequestInfo) -> bool {
+        self.balancer.can_meet_deadline(ask)
     }
 
     fn check_available(
         &mut self,
-        ask: &Ask,
+        ask: &RequestInfo,
         tried: &[UpstreamKey],
         now: Time,
     ) -> Result<(), Refusal> {
@@ -228,11 +233,11 @@
         };
         Ok(Routed {
             belongs,
-            ask: Ask {
+            ask: RequestInfo {
                 service,
                 repeatable: route.kind.is_repeatable(),
                 priority,
-                bulky: route.kind == RequestKind::Download,
+                large_response: route.kind == RequestKind::Download,
                 aim: route.aim,
                 left: None,
                 route: NameId::of(&route.name),
--- a/crates/honeypulley_mesh/src/suspects.rs
+++ b/crates/honeypulley_mesh/src/suspects.rs
@@ -8,7 +8,7 @@
     fn update(&self, change: &mut dyn FnMut(&mut Quarantine)) {
         let mut quarantine = self.quarantine.lock();
         change(&mut quarantine);
-        let (holds, news) = (quarantine.take_new_holds(), quarantine.take_news());
+        let (holds, news) = (quarantine.take_new_holds(), quarantine.take_updates());
         drop(quarantine);
         holds.iter().for_each(log_hold);
         news.into_iter().for_each(|n| self.requests_out.push(n));
--- a/crates/honeypulley_policy/benches/pick.rs
+++ b/crates/honeypulley_policy/benches/pick.rs
@@ -6,7 +6,7 @@
 //! honeypulley_policy --bench pick`.
 
 use honeypulley_policy::balance::{Balancer, RetryRule, Update, UpstreamEntry};
-use honeypulley_policy::chooser::{Ask, RoutingPolicy};
+use honeypulley_policy::chooser::{RequestInfo, RoutingPolicy};
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::router::Outcome;
 use honeypulley_policy::spec::{Member, MemberState, ServiceSpec};
@@ -58,11 +58,11 @@
 fn pick_time(limited: usize) -> u64 {
     let mut b = balancer();
     let service = b.service("s").expect("service is configured");
-    let ask = Ask {
+    let ask = RequestInfo {
         service,
         repeatable: true,
         priority: 0,
-        bulky: false,
+        large_response: false,
         aim: Some(Duration::from_secs(1)),
         left: None,
         route: NameId::of("r"),
@@ -80,7 +80,7 @@
             total += begin.elapsed();
             b.answered(pick.attempt, true, now);
             b.finish(pick.attempt, Outcome::Whole, now);
-            b.take_news();
+            b.take_updates();
         }
         times.push(total.as_nanos() as u64 / PICKS);
     }
--- a/crates/honeypulley_policy/src/balance.rs
+++ b/crates/honeypulley_policy/src/balance.rs
@@ -457,7 +457,7 @@
     }
 
     /// Drains the announcements to broadcast.
-    pub fn take_news(&mut self) -> Vec<Update> {
+    pub fn take_updates(&mut self) -> Vec<Update> {
         std::mem::take(&mut self.news)
     }
 
--- a/crates/honeypulley_policy/src/balance/admit.rs
+++ b/crates/honeypulley_policy/src/balance/admit.rs
@@ -7,7 +7,7 @@
 
 use super::doubt::latency_prior;
 use super::{Balancer, DEFAULT_TARGET};
-use crate::chooser::Ask;
+use crate::chooser::RequestInfo;
 use crate::router::{Refusal, RefusalKind, UpstreamKey};
 use crate::time::Time;
 use std::time::Duration;
@@ -35,7 +35,7 @@
     (Duration::from_millis(100), Duration::from_secs(2));
 
 /// Returns the highest expected latency at which a request is admitted.
-fn allowed_latency(ask: &Ask, targets: f64) -> Duration {
+fn allowed_latency(ask: &RequestInfo, targets: f64) -> Duration {
     let target = ask.aim.unwrap_or(DEFAULT_TARGET);
     let late = ask.left.map_or(Duration::ZERO, |left| left.saturating_sub(target));
     let allowed = target.mul_f64(targets).max(late.mul_f64(LATE_SHARE));
@@ -66,7 +66,7 @@
     pub(super) fn admit(
         &mut self,
         k: UpstreamKey,
-        ask: &Ask,
+        ask: &RequestInfo,
         is_first: bool,
         now: Time,
     ) -> Result<(), Refusal> {
@@ -92,7 +92,7 @@
     }
 
     /// Returns the queueing delay to expect at an upstream.
-    pub(super) fn wait(&self, k: UpstreamKey, ask: &Ask, now: Time) -> Duration {
+    pub(super) fn wait(&self, k: UpstreamKey, ask: &RequestInfo, now: Time) -> Duration {
         let (Some(u), Some(s)) = (self.upstreams.get(k), self.services.get(ask.service)) else {
             return Duration::ZERO;
         };
--- a/crates/honeypulley_policy/src/balance/choice.rs
+++ b/crates/honeypulley_policy/src/balance/choice.rs
@@ -4,7 +4,7 @@
 use super::trial::ProbeRule;
 use super::{Attempt, Balancer, BudgetUsage, DEFAULT_TARGET, RetryReason, Service, Upstream};
 use crate::belief::FAILS_SICK;
-use crate::chooser::{Ask, Inputs, Place, RoutingPolicy};
+use crate::chooser::{Endpoint, PickInputs, RequestInfo, RoutingPolicy};
 use crate::router::{
     AttemptKey, Outcome, Pick, Reason, Refusal, RefusalKind, ServiceKey, UpstreamKey, jitter,
 };
@@ -54,7 +54,12 @@
 }
 
 impl RoutingPolicy for Balancer {
-    fn pick(&mut self, ask: &Ask, tried: &[UpstreamKey], now: Time) -> Result<Pick, Refusal> {
+    fn pick(
+        &mut self,
+        ask: &RequestInfo,
+        tried: &[UpstreamKey],
+        now: Time,
+    ) -> Result<Pick, Refusal> {
         let Some(s) = self.services.get(ask.service) else {
             return Err(self.refuse(RefusalKind::NoUpstream, NO_UPSTREAM_WAIT));
         };
@@ -93,34 +98,34 @@
         Ok(Pick { attempt, upstream, reason })
     }
 
-    fn place(&self, k: UpstreamKey) -> Option<Place<'_>> {
-        self.upstreams.get(k).map(|u| Place { name: &u.name, addr: &u.addr })
+    fn place(&self, k: UpstreamKey) -> Option<Endpoint<'_>> {
+        self.upstreams.get(k).map(|u| Endpoint { name: &u.name, addr: &u.addr })
     }
 
     fn has_restarted(&self, k: UpstreamKey) -> bool {
         self.restarted.contains(&k)
     }
 
-    fn inputs(&self, k: UpstreamKey, now: Time) -> Inputs {
-        self.upstreams.get(k).map_or_else(Inputs::default, |u| Inputs {
+    fn inputs(&self, k: UpstreamKey, now: Time) -> PickInputs {
+        self.upstreams.get(k).map_or_else(PickInputs::default, |u| PickInputs {
             sick: self.unhealthy_chance(k, now),
             path: u.path.chance(now),
             busy: u.busy(now),
             near: u.local,
             load_age: u.remote.map(|r| now.since(r.at)),
             limit: self.advertised_limit(k, now),
-            ..Inputs::default()
+            ..PickInputs::default()
         })
     }
 
-    fn expected(&self, ask: &Ask, now: Time) -> Option<Duration> {
+    fn expected(&self, ask: &RequestInfo, now: Time) -> Option<Duration> {
         let s = self.services.get(ask.service)?;
         let open = s.upstreams.iter().filter(|&&k| !self.upstreams[k].is_leaving());
         let wait = open.map(|&k| self.wait(k, ask, now)).min()?;
         Some(wait + self.latency_quantile(ask, 0.5))
     }
 
-    fn recheck_delay(&self, ask: &Ask, age: Duration) -> Duration {
+    fn recheck_delay(&self, ask: &RequestInfo, age: Duration) -> Duration {
         self.next_check(ask, age)
     }
 
@@ -128,17 +133,17 @@
         self.record_in_flight(k, now);
     }
 
-    fn hedge(&self, ask: &Ask, k: AttemptKey, now: Time) -> Option<f64> {
+    fn hedge(&self, ask: &RequestInfo, k: AttemptKey, now: Time) -> Option<f64> {
         self.unanswered_chance(ask, k, now)
     }
 
-    fn is_in_time(&self, ask: &Ask) -> bool {
+    fn can_meet_deadline(&self, ask: &RequestInfo) -> bool {
         ask.left.is_none_or(|left| left >= self.latency_quantile(ask, IN_TIME_QUANTILE))
     }
 
     fn check_available(
         &mut self,
-        ask: &Ask,
+        ask: &RequestInfo,
         tried: &[UpstreamKey],
         now: Time,
     ) -> Result<(), Refusal> {
@@ -185,7 +190,7 @@
     fn least_loss(
         &mut self,
         open: &[UpstreamKey],
-        ask: &Ask,
+        ask: &RequestInfo,
         service_time: Duration,
         now: Time,
     ) -> Option<UpstreamKey> {
@@ -201,7 +206,7 @@
     }
 
     /// Returns the expected loss of one attempt, in requests.
-    fn loss(&self, k: UpstreamKey, ask: &Ask, service_time: Duration, now: Time) -> f64 {
+    fn loss(&self, k: UpstreamKey, ask: &RequestInfo, service_time: Duration, now: Time) -> f64 {
         let u = &self.upstreams[k];
         let failure = self.fault_chance(k, now) * FAILS_SICK;
         let weight = if ask.repeatable { REPEATABLE_LOSS } else { UNSAFE_LOSS };
@@ -210,7 +215,8 @@
         let targets = wait.as_secs_f64() / ask.aim.unwrap_or(DEFAULT_TARGET).as_secs_f64();
         let mut loss = failure * weight + targets * WAIT_LOSS + busy / u.slots * CONCURRENCY_LOSS;
         if !u.local {
-            loss += CROSS_HALL_LOSS + self.sizes.expected(ask.route, ask.bulky) * self.byte_cost;
+            loss += CROSS_HALL_LOSS
+                + self.sizes.expected(ask.route, ask.large_response) * self.byte_cost;
         }
         if now < u.cold_until {
             loss += WARMUP_LOSS;
--- a/crates/honeypulley_policy/src/balance/doubt.rs
+++ b/crates/honeypulley_policy/src/balance/doubt.rs
@@ -8,7 +8,7 @@
 use super::work::LatencyPrior;
 use super::{Attempt, Balancer, DEFAULT_TARGET, PeerInFlight, Service, Upstream};
 use crate::belief::{FAILS_SICK, Observation};
-use crate::chooser::Ask;
+use crate::chooser::RequestInfo;
 use crate::collector::NameId;
 use crate::router::{AttemptKey, UpstreamKey};
 use crate::time::Time;
@@ -121,7 +121,7 @@
     /// Returns the time until an attempt in flight has to be checked again.
     ///
     /// That is when it reaches the next evidence threshold or may be hedged.
-    pub(super) fn next_check(&self, ask: &Ask, age: Duration) -> Duration {
+    pub(super) fn next_check(&self, ask: &RequestInfo, age: Duration) -> Duration {
         let target = ask.aim.unwrap_or(DEFAULT_TARGET);
         let thresholds = [OVERDUE_RATIO, HUNG_RATIO].map(|r| self.age_of_ratio(ask, r, target));
         let ages = thresholds.into_iter().flatten().chain([self.hedge_delay(ask)]);
@@ -134,7 +134,7 @@
     /// It is the latest age at which the hedge is still likely to be answered within the
     /// latency target; earlier hedges spend retry budget on attempts that would have been
     /// answered.
-    pub(super) fn hedge_delay(&self, ask: &Ask) -> Duration {
+    pub(super) fn hedge_delay(&self, ask: &RequestInfo) -> Duration {
         let target = ask.aim.unwrap_or(DEFAULT_TARGET);
         let latency = self.latency_quantile(ask, HEDGE_QUANTILE).mul_f64(ROUND_TRIP_FACTOR);
         let (least, most) = (target.mul_f64(HEDGE_BOUNDS.0), target.mul_f64(HEDGE_BOUNDS.1));
@@ -142,7 +142,12 @@
     }
 
     /// Returns the probability that an attempt stays unanswered, once it may be hedged.
-    pub(super) fn unanswered_chance(&self, ask: &Ask, k: AttemptKey, now: Time) -> Option<f64> {
+    pub(super) fn unanswered_chance(
+        &self,
+        ask: &RequestInfo,
+        k: AttemptKey,
+        now: Time,
+    ) -> Option<f64> {
         let a = self.attempts.get(k).filter(|a| self.upstreams.contains_key(a.upstream))?;
         let chance = self.fault_chance(a.upstream, now) * FAILS_SICK;
         // The hedging delay may have changed slightly since this check was scheduled.
@@ -151,7 +156,7 @@
     }
 
     /// Returns a quantile of the latency to expect for a request.
-    pub(super) fn latency_quantile(&self, ask: &Ask, share: f64) -> Duration {
+    pub(super) fn latency_quantile(&self, ask: &RequestInfo, share: f64) -> Duration {
         let target = ask.aim.unwrap_or(DEFAULT_TARGET);
         let latencies = self.route_latencies.get(&ask.route).filter(|h| h.is_warm());
         let latencies = latencies.or_else(|| self.services.get(ask.service).map(|s| &s.latencies));
@@ -159,7 +164,7 @@
     }
 
     /// Returns the age at which an attempt reaches a likelihood ratio.
-    fn age_of_ratio(&self, ask: &Ask, ratio: f64, target: Duration) -> Option<Duration> {
+    fn age_of_ratio(&self, ask: &RequestInfo, ratio: f64, target: Duration) -> Option<Duration> {
         let service = self.services.get(ask.service)?;
         let latencies = self
             .route_latencies
--- a/crates/honeypulley_policy/src/balance/named.rs
+++ b/crates/honeypulley_policy/src/balance/named.rs
@@ -8,7 +8,7 @@
 //! with nothing, so a few data halls each get a share of every limit.
 
 use super::{Balancer, RetryHistory, Service, Update, Upstream};
-use crate::chooser::Ask;
+use crate::chooser::RequestInfo;
 use crate::collector::NameId;
 use crate::fleet_limits::{FleetRateLimiter, LimitRule, RateLimit, Scope};
 use crate::placement::weight;
@@ -207,7 +207,7 @@
     pub(super) fn filter_limited(
         &mut self,
         open: Vec<UpstreamKey>,
-        ask: &Ask,
+        ask: &RequestInfo,
         now: Time,
     ) -> (Vec<UpstreamKey>, Option<Duration>) {
         if self.limits.entries.is_empty() || open.is_empty() {
@@ -232,7 +232,7 @@
     fn check_limit(
         &mut self,
         k: UpstreamKey,
-        ask: &Ask,
+        ask: &RequestInfo,
         division: Division,
         now: Time,
     ) -> Result<(), Duration> {
@@ -300,7 +300,7 @@
         let Some(id) = self.upstreams.get(k).map(|u| u.id) else { return };
         if self.limits.in_force(id, now).is_some() {
             self.limits.buckets.take(id, now);
-            self.news.extend(self.limits.buckets.take_news());
+            self.news.extend(self.limits.buckets.take_updates());
         }
     }
 
--- a/crates/honeypulley_policy/src/balance/signals.rs
+++ b/crates/honeypulley_policy/src/balance/signals.rs
@@ -5,7 +5,7 @@
 
 use super::admit::RETRY_AFTER_BOUNDS;
 use super::{Balancer, RemoteLoad, Update, Upstream};
-use crate::chooser::Ask;
+use crate::chooser::RequestInfo;
 use crate::collector::NameId;
 use crate::router::{AttemptKey, Refusal, RefusalKind, UpstreamKey};
 use crate::signals::{SignalChanges, Signals};
@@ -114,7 +114,7 @@
     /// Refuses the request if there is none, with the time until one becomes available.
     pub(super) fn sendable(
         &mut self,
-        ask: &Ask,
+        ask: &RequestInfo,
         tried: &[UpstreamKey],
         now: Time,
     ) -> Result<Vec<UpstreamKey>, Refusal> {
--- a/crates/honeypulley_policy/src/balance/trial.rs
+++ b/crates/honeypulley_policy/src/balance/trial.rs
@@ -6,7 +6,7 @@
 
 use super::floor::{FLOOR_WINDOW, FloorRule};
 use super::{Balancer, Service, Upstream};
-use crate::chooser::Ask;
+use crate::chooser::RequestInfo;
 use crate::router::UpstreamKey;
 use crate::time::Time;
 use std::time::Duration;
@@ -75,7 +75,7 @@
 
 impl ProbeRule {
     /// Returns the rule for a request to a service.
-    pub(super) fn of(s: &Service, ask: &Ask, now: Time) -> Self {
+    pub(super) fn of(s: &Service, ask: &RequestInfo, now: Time) -> Self {
         let is_starting = now.since(s.added) < STARTUP_TIME;
         let max_idle = match (is_starting, ask.repeatable) {
             (true, _) => STARTUP_MAX_IDLE,
--- a/crates/honeypulley_policy/src/chooser.rs
+++ b/crates/honeypulley_policy/src/chooser.rs
@@ -11,7 +11,7 @@
 
 /// Properties of a request that a policy takes into account.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ask {
+pub struct RequestInfo {
     /// Requested service.
     pub service: ServiceKey,
     /// Whether the request may run more than once.
@@ -19,7 +19,7 @@
     /// Priority; zero is the highest.
     pub priority: u8,
     /// Whether the response is large.
-    pub bulky: bool,
+    pub large_response: bool,
     /// Target latency of the route, if it has one.
     pub aim: Option<Duration>,
     /// Time remaining until the deadline, if there is one.
@@ -39,7 +39,7 @@
 
 /// Name and address of an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Place<'a> {
+pub struct Endpoint<'a> {
     /// Name of the instance, which is never reused.
     pub name: &'a str,
     /// IP address and port.
@@ -48,7 +48,7 @@
 
 /// State of an upstream on which a policy based its choice.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Inputs {
+pub struct PickInputs {
     /// Probability that the upstream is unhealthy, based on the observations of all boxes.
     pub sick: f64,
     /// Probability that the path from this box to the upstream has failed.
@@ -80,40 +80,50 @@
     ///
     /// # Errors
     /// Returns a [`Refusal`] if no upstream is available; nothing has been sent then.
-    fn pick(&mut self, ask: &Ask, tried: &[UpstreamKey], now: Time) -> Result<Pick, Refusal>;
+    fn pick(
+        &mut self,
+        ask: &RequestInfo,
+        tried: &[UpstreamKey],
+        now: Time,
+    ) -> Result<Pick, Refusal>;
     /// Returns the name and address of an upstream, if it is still known.
-    fn place(&self, k: UpstreamKey) -> Option<Place<'_>>;
+    fn place(&self, k: UpstreamKey) -> Option<Endpoint<'_>>;
     /// Returns whether an upstream has restarted, which ends all attempts opened there before.
     fn has_restarted(&self, _: UpstreamKey) -> bool {
         false
     }
     /// Returns the state of an upstream, for logging.
-    fn inputs(&self, _: UpstreamKey, _: Time) -> Inputs {
-        Inputs::default()
+    fn inputs(&self, _: UpstreamKey, _: Time) -> PickInputs {
+        PickInputs::default()
     }
     /// Returns the shortest expected latency, for logging a refusal.
-    fn expected(&self, _: &Ask, _: Time) -> Option<Duration> {
+    fn expected(&self, _: &RequestInfo, _: Time) -> Option<Duration> {
         None
     }
     /// Returns the delay until an open attempt of this age is checked again.
-    fn recheck_delay(&self, ask: &Ask, age: Duration) -> Duration;
+    fn recheck_delay(&self, ask: &RequestInfo, age: Duration) -> Duration;
     /// Records that an attempt is still pending.
     fn is_in_flight(&mut self, k: AttemptKey, now: Time);
     /// Returns whether a hedged attempt is worthwhile while another of this age is pending.
     ///
     /// `Some` holds the probability that the first attempt gets no response.
-    fn hedge(&self, _: &Ask, _: AttemptKey, _: Time) -> Option<f64> {
+    fn hedge(&self, _: &RequestInfo, _: AttemptKey, _: Time) -> Option<f64> {
         Some(1.0)
     }
     /// Returns whether an attempt sent now could still meet the deadline.
-    fn is_in_time(&self, _: &Ask) -> bool {
+    fn can_meet_deadline(&self, _: &RequestInfo) -> bool {
         true
     }
     /// Checks that an upstream is available, before a retry token is spent.
     ///
     /// # Errors
     /// Returns a [`Refusal`] if no upstream is available.
-    fn check_available(&mut self, _: &Ask, _: &[UpstreamKey], _: Time) -> Result<(), Refusal> {
+    fn check_available(
+        &mut self,
+        _: &RequestInfo,
+        _: &[UpstreamKey],
+        _: Time,
+    ) -> Result<(), Refusal> {
         Ok(())
     }
     /// Spends one retry token and returns whether there was one.
@@ -137,15 +147,20 @@
 }
 
 impl RoutingPolicy for Router {
-    fn pick(&mut self, ask: &Ask, tried: &[UpstreamKey], now: Time) -> Result<Pick, Refusal> {
+    fn pick(
+        &mut self,
+        ask: &RequestInfo,
+        tried: &[UpstreamKey],
+        now: Time,
+    ) -> Result<Pick, Refusal> {
         Self::pick(self, ask.service, ask.repeatable, tried, now)
     }
 
-    fn place(&self, k: UpstreamKey) -> Option<Place<'_>> {
-        self.upstream(k).map(|(name, addr)| Place { name, addr })
+    fn place(&self, k: UpstreamKey) -> Option<Endpoint<'_>> {
+        self.upstream(k).map(|(name, addr)| Endpoint { name, addr })
     }
 
-    fn recheck_delay(&self, ask: &Ask, _: Duration) -> Duration {
+    fn recheck_delay(&self, ask: &RequestInfo, _: Duration) -> Duration {
         self.stall_limit(ask.service)
     }
 
--- a/crates/honeypulley_policy/src/fleet_limits/buckets.rs
+++ b/crates/honeypulley_policy/src/fleet_limits/buckets.rs
@@ -253,7 +253,7 @@
     }
 
     /// Drains the queued announcements.
-    pub fn take_news(&mut self) -> Vec<Update> {
+    pub fn take_updates(&mut self) -> Vec<Update> {
         std::mem::take(&mut self.news)
     }
 
--- a/crates/honeypulley_policy/src/quarantine.rs
+++ b/crates/honeypulley_policy/src/quarantine.rs
@@ -245,7 +245,7 @@
     }
 
     /// Drains the queued announcements.
-    pub fn take_news(&mut self) -> Vec<RequestUpdate> {
+    pub fn take_updates(&mut self) -> Vec<RequestUpdate> {
         std::mem::take(&mut self.news)
     }
 
--- a/crates/honeypulley_policy/tests/balance/choice.rs
+++ b/crates/honeypulley_policy/tests/balance/choice.rs
@@ -242,7 +242,8 @@
     b.heard(NameId::of("other"), failure("u0"), Time::from_millis(10));
     send(&mut b, 50, 3_000, true);
     let upstream = NameId::of("u0");
-    let announced = b.take_news().into_iter().filter(|n| *n == Update::Well { upstream }).count();
+    let announced =
+        b.take_updates().into_iter().filter(|n| *n == Update::Well { upstream }).count();
     assert_eq!(announced, 1);
 }
 
--- a/crates/honeypulley_policy/tests/balance/halls.rs
+++ b/crates/honeypulley_policy/tests/balance/halls.rs
@@ -8,7 +8,7 @@
 use crate::{RULE, ask, listed, report_load};
 use honeypulley_policy::balance::{Balancer, RetryHistory, Update};
 use honeypulley_policy::belief::Observation;
-use honeypulley_policy::chooser::{Ask, RoutingPolicy};
+use honeypulley_policy::chooser::{RequestInfo, RoutingPolicy};
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::router::Outcome;
 use honeypulley_policy::spec::{MemberState, ServiceSpec};
@@ -42,7 +42,7 @@
 
 /// Sends 60 requests, 20 ms apart, with answers of `bytes`; returns how many left the data
 /// hall.
-fn count_leaving(b: &mut Balancer, ask: &Ask, bytes: u64, from: u64) -> usize {
+fn count_leaving(b: &mut Balancer, ask: &RequestInfo, bytes: u64, from: u64) -> usize {
     let mut left = 0;
     for i in 0..60 {
         let now = Time::from_millis(from + i * 20);
@@ -75,7 +75,7 @@
     #[case] most: usize,
 ) {
     let mut b = two_halls(TRANSFER_COST);
-    let ask = Ask { bulky: bytes == DOWNLOAD, ..ask(&b, true) };
+    let ask = RequestInfo { large_response: bytes == DOWNLOAD, ..ask(&b, true) };
     count_leaving(&mut b, &ask, bytes, 6_000);
     suspect_local(&mut b, 8_000);
     let left = count_leaving(&mut b, &ask, bytes, 8_010);
@@ -86,7 +86,7 @@
 #[test]
 fn answer_sizes_are_learned() {
     let mut b = two_halls(TRANSFER_COST);
-    let ask = Ask { bulky: true, ..ask(&b, true) };
+    let ask = RequestInfo { large_response: true, ..ask(&b, true) };
     for n in 0..4 {
         count_leaving(&mut b, &ask, PAGE, 6_000 + n * 1_500);
     }
@@ -99,7 +99,7 @@
 #[test]
 fn downloads_leave_when_transfers_are_cheap() {
     let mut b = two_halls(1.0);
-    let ask = Ask { bulky: true, ..ask(&b, true) };
+    let ask = RequestInfo { large_response: true, ..ask(&b, true) };
     count_leaving(&mut b, &ask, DOWNLOAD, 6_000);
     suspect_local(&mut b, 8_000);
     assert!(count_leaving(&mut b, &ask, DOWNLOAD, 8_010) >= 20);
@@ -109,7 +109,7 @@
 #[test]
 fn downloads_leave_a_full_data_hall() {
     let mut b = two_halls(TRANSFER_COST);
-    let ask = Ask { bulky: true, ..ask(&b, true) };
+    let ask = RequestInfo { large_response: true, ..ask(&b, true) };
     for n in 0..20 {
         let now = Time::from_millis(6_000 + n * 400);
         let pick = b.pick(&ask, &[], now).expect("upstreams are available");
--- a/crates/honeypulley_policy/tests/balance/main.rs
+++ b/crates/honeypulley_policy/tests/balance/main.rs
@@ -11,7 +11,7 @@
 
 use honeypulley_policy::balance::{Balancer, RetryHistory, RetryRule, Update, UpstreamEntry};
 use honeypulley_policy::belief::Observation;
-use honeypulley_policy::chooser::{Ask, LoadReport, RoutingPolicy};
+use honeypulley_policy::chooser::{LoadReport, RequestInfo, RoutingPolicy};
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::router::{Outcome, Pick};
 use honeypulley_policy::signals::Signals;
@@ -48,13 +48,13 @@
 }
 
 /// Returns a request with a latency target of one second and two seconds left.
-fn ask(b: &Balancer, repeatable: bool) -> Ask {
+fn ask(b: &Balancer, repeatable: bool) -> RequestInfo {
     let service = b.service("s").expect("service is configured");
-    Ask {
+    RequestInfo {
         service,
         repeatable,
         priority: 0,
-        bulky: false,
+        large_response: false,
         aim: Some(Duration::from_secs(1)),
         left: Some(Duration::from_secs(2)),
         route: NameId::of("r"),
--- a/crates/honeypulley_policy/tests/balance/named.rs
+++ b/crates/honeypulley_policy/tests/balance/named.rs
@@ -2,7 +2,7 @@
 
 use super::{RULE, advertise, ask, balancer, listed};
 use honeypulley_policy::balance::{Balancer, FleetScope, RetryHistory, Update, UpstreamEntry};
-use honeypulley_policy::chooser::{Ask, RoutingPolicy};
+use honeypulley_policy::chooser::{RequestInfo, RoutingPolicy};
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::router::{Outcome, Pick, RefusalKind};
 use honeypulley_policy::spec::{MemberState, ServiceSpec};
@@ -81,16 +81,16 @@
     let mut b = balancer(1);
     send_one(&mut b, &[], Some(5.0), 0);
     let limit = Update::Limit { upstream: NameId::of("u0"), rate: Some(5.0) };
-    let news = b.take_news();
+    let news = b.take_updates();
     assert!(news.contains(&limit) && !limit.is_for_hall(), "{news:?}");
     send_one(&mut b, &[], Some(5.0), 300);
-    let news = b.take_news();
+    let news = b.take_updates();
     assert!(!news.contains(&limit), "an unchanged limit is not announced again at once");
     let is_sent = |n: &Update| matches!(n, Update::Admitted { .. }) && n.is_for_hall();
     assert_eq!(news.iter().filter(|n| is_sent(n)).count(), 1, "{news:?}");
     send_one(&mut b, &[], Some(5.0), 2_500);
     assert!(
-        b.take_news().contains(&limit),
+        b.take_updates().contains(&limit),
         "an unchanged limit is announced again after some time"
     );
 }
@@ -125,12 +125,12 @@
     let mut b = balancer(2);
     announce_limit(&mut b, Some(1.0), 0);
     count_u0(&mut b, 0, 5_000, Some(1.0));
-    b.take_news();
+    b.take_updates();
     let since = (5_000..8_000).step_by(20);
     let unlimited = since.filter_map(|ms| send_one(&mut b, &["u0"], None, ms).map(|n| (n, ms)));
     let first = unlimited.into_iter().find(|(n, _)| n == "u0").expect("u0 gets requests").1;
     let withdrawn = Update::Limit { upstream: NameId::of("u0"), rate: None };
-    assert!(b.take_news().contains(&withdrawn));
+    assert!(b.take_updates().contains(&withdrawn));
     assert!(count_u0(&mut b, first + 20, first + 2_020, None) > 25, "half of the requests again");
 }
 
@@ -296,7 +296,7 @@
     let mut b = balancer(1);
     announce_limit(&mut b, Some(4.0), 0);
     let usual = ask(&b, false);
-    let low = Ask { priority: 2, ..usual };
+    let low = RequestInfo { priority: 2, ..usual };
     let mut served = [0; 2];
     for ms in (0..20_000).step_by(50) {
         for (i, ask) in [low, usual].into_iter().enumerate() {
--- a/crates/honeypulley_policy/tests/balance/open_attempts.rs
+++ b/crates/honeypulley_policy/tests/balance/open_attempts.rs
@@ -3,7 +3,7 @@
 use crate::{ask, balancer, report_load, send};
 use honeypulley_policy::balance::{Balancer, Update};
 use honeypulley_policy::belief::Observation;
-use honeypulley_policy::chooser::{Ask, RoutingPolicy};
+use honeypulley_policy::chooser::{RequestInfo, RoutingPolicy};
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::router::{Outcome, RefusalKind};
 use honeypulley_policy::time::Time;
@@ -38,7 +38,7 @@
     let pick = b.pick(&ask, &[], Time::ZERO).expect("an upstream is available");
     b.finish(pick.attempt, Outcome::Failed, Time::from_millis(1));
     let upstream = NameId::of("u0");
-    let announced = b.take_news();
+    let announced = b.take_updates();
     assert_eq!(
         announced,
         [
@@ -146,7 +146,7 @@
 #[test]
 fn a_request_without_queueing_is_sent_however_short_its_time_limit() {
     let mut b = balancer(2);
-    let ask = Ask { left: Some(Duration::from_millis(100)), ..ask(&b, true) };
+    let ask = RequestInfo { left: Some(Duration::from_millis(100)), ..ask(&b, true) };
     assert!(b.pick(&ask, &[], Time::ZERO).is_ok());
 }
 
@@ -163,7 +163,7 @@
     let upstream = NameId::of("u0");
     let ago = Duration::ZERO;
     let announced = Update::Ended { upstream, count: 0, served: true, far: Some(3), ago };
-    assert!(b.take_news().contains(&announced));
+    assert!(b.take_updates().contains(&announced));
     let mut other = balancer(1);
     other.heard(NameId::of("peer"), announced, now);
     let pick = other.pick(&ask, &[], now).expect("an upstream is available");
--- a/crates/honeypulley_policy/tests/balance/signals.rs
+++ b/crates/honeypulley_policy/tests/balance/signals.rs
@@ -46,13 +46,13 @@
 #[test]
 fn an_announced_shutdown_ends_new_requests_at_once_and_is_broadcast_once() {
     let mut b = balancer(3);
-    b.take_news();
+    b.take_updates();
     announce_shutdown(&mut b, 0);
     let leaving = Update::Leaving { upstream: NameId::of("u0") };
-    let news = b.take_news();
+    let news = b.take_updates();
     assert!(news.contains(&leaving) && !leaving.is_for_hall(), "{news:?}");
     assert_eq!(sent_to_u0(&mut b, 10), 0);
-    assert!(!b.take_news().contains(&leaving));
+    assert!(!b.take_updates().contains(&leaving));
 }
 
 #[test]
@@ -235,11 +235,11 @@
 #[test]
 fn a_backoff_is_not_broadcast() {
     let mut b = balancer(1);
-    b.take_news();
+    b.take_updates();
     let p = pick(&mut b, "u0", 0);
-    b.take_news();
+    b.take_updates();
     b.signalled(p.attempt, &backoff(3_000), at(0));
-    assert!(b.take_news().is_empty());
+    assert!(b.take_updates().is_empty());
 }
 
 #[test]
@@ -258,9 +258,9 @@
     let [p, q] = [pick(&mut b, "u0", 0), pick(&mut b, "u1", 0)];
     b.remove_upstream("u0");
     b.remove_upstream("u1");
-    b.take_news();
+    b.take_updates();
     assert!(b.signalled(p.attempt, &LEAVING, at(10)).leaving);
-    assert!(b.take_news().contains(&Update::Leaving { upstream: NameId::of("u0") }));
+    assert!(b.take_updates().contains(&Update::Leaving { upstream: NameId::of("u0") }));
     assert!(b.signalled(q.attempt, &backoff(3_000), at(10)).backoff);
     for name in ["u0", "u1"] {
         b.set_upstream(listed(name, "h", MemberState::Live), at(100));
--- a/crates/honeypulley_policy/tests/floor.rs
+++ b/crates/honeypulley_policy/tests/floor.rs
@@ -4,7 +4,7 @@
 //! sockets and no clock, so it gives the same result in each run.
 
 use honeypulley_policy::balance::{Balancer, FleetScope, RetryRule, UpstreamEntry};
-use honeypulley_policy::chooser::{Ask, RoutingPolicy};
+use honeypulley_policy::chooser::{RequestInfo, RoutingPolicy};
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::router::{AttemptKey, Outcome};
 use honeypulley_policy::spec::{Member, MemberState, ServiceSpec};
@@ -75,11 +75,11 @@
         let b = &mut self.boxes[from];
         let service = b.service("s").expect("service is configured");
         b.arrived(service, at);
-        let ask = Ask {
+        let ask = RequestInfo {
             service,
             repeatable,
             priority: 0,
-            bulky: false,
+            large_response: false,
             aim: Some(Duration::from_millis(800)),
             left: Some(Duration::from_millis(TIMEOUT_MS)),
             route: NameId::of("r"),
@@ -114,7 +114,7 @@
         }
         self.pending.retain(|w| now < w.ends);
         for from in 0..self.boxes.len() {
-            let news = self.boxes[from].take_news();
+            let news = self.boxes[from].take_updates();
             let sender = NameId::of(&from.to_string());
             for (to, b) in self.boxes.iter_mut().enumerate() {
                 if to != from {
--- a/crates/honeypulley_policy/tests/limits/strategies.rs
+++ b/crates/honeypulley_policy/tests/limits/strategies.rs
@@ -59,7 +59,7 @@
                 self.limits.tell(id, rank, now);
             }
         }
-        for news in self.limits.take_news() {
+        for news in self.limits.take_updates() {
             let to = match news {
                 Update::Admitted { .. } => fleet.hall_peers(self.this_box),
                 _ => fleet.others(self.this_box),
@@ -286,7 +286,7 @@
         }
         self.set_scope(fleet, now);
         let admitted = self.limits.admit(organisation(), now).is_ok();
-        for news in self.limits.take_news() {
+        for news in self.limits.take_updates() {
             out.extend(fleet.hall_peers(self.this_box).map(|to| Message {
                 from: self.this_box,
                 to,
--- a/crates/honeypulley_policy/tests/load/hall.rs
+++ b/crates/honeypulley_policy/tests/load/hall.rs
@@ -8,7 +8,7 @@
 use honeypulley_policy::balance::{
     Balancer, FleetScope, RetryHistory, RetryReason, RetryRule, Update, UpstreamEntry,
 };
-use honeypulley_policy::chooser::{Ask, RoutingPolicy};
+use honeypulley_policy::chooser::{RequestInfo, RoutingPolicy};
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::router::{AttemptKey, Outcome, Reason, UpstreamKey};
 use honeypulley_policy::signals::Signals;
@@ -211,12 +211,12 @@
         if self.plan.fails_after_ms > 0 { self.plan.fails_after_ms } else { TIMEOUT_MS }
     }
 
-    fn ask(&self, r: &Request, now: u64) -> Ask {
-        Ask {
+    fn ask(&self, r: &Request, now: u64) -> RequestInfo {
+        RequestInfo {
             service: self.boxes[r.from].service("s").expect("service is configured"),
             repeatable: r.repeatable,
             priority: 0,
-            bulky: false,
+            large_response: false,
             aim: Some(Duration::from_millis(TARGET_MS)),
             left: Some(Duration::from_millis((r.began + self.limit()).saturating_sub(now))),
             route: NameId(u64::from(r.repeatable)),
@@ -310,7 +310,7 @@
         let hold = (BATCH_PER_BOX_MS * (self.plan.boxes - 1) as f64).min(MAX_BATCH_MS) as u64;
         for (from, b) in self.boxes.iter_mut().enumerate() {
             let batched = &mut self.batched[from];
-            batched.extend(b.take_news().into_iter().map(|n| (now, n)));
+            batched.extend(b.take_updates().into_iter().map(|n| (now, n)));
             let waits = batched.first().is_none_or(|&(at, _)| now < at + hold);
             if !waits || !batched.iter().all(|(_, n)| n.is_deferrable()) {
                 let aged = |(at, n): (u64, Update)| n.aged(Duration::from_millis(now - at));
@@ -357,7 +357,7 @@
         }
         (r.repeatable || end == End::Rejected)
             && r.tried.len() < MAX_ATTEMPTS
-            && b.is_in_time(&ask)
+            && b.can_meet_deadline(&ask)
             && b.spend_retry(ask.service, RetryReason::Failed, Time::from_millis(now))
     }
 
--- a/crates/honeypulley_policy/tests/quarantine/fleet.rs
+++ b/crates/honeypulley_policy/tests/quarantine/fleet.rs
@@ -212,7 +212,7 @@
     /// Delivers the announcements of a box to the others.
     fn broadcast(&mut self, from: usize, step: u64) {
         let now = time(step + ANNOUNCE_STEPS);
-        for news in self.boxes[from].take_news() {
+        for news in self.boxes[from].take_updates() {
             for (i, b) in self.boxes.iter_mut().enumerate() {
                 if i != from && self.rng.f64() >= self.params.loss_rate {
                     b.heard(news, now);
--- a/crates/honeypulley_policy/tests/quarantine/main.rs
+++ b/crates/honeypulley_policy/tests/quarantine/main.rs
@@ -71,15 +71,15 @@
 #[test]
 fn one_success_clears_a_request_on_all_boxes() {
     let (mut local, mut remote) = (with_crashes(2), with_crashes(2));
-    local.take_news();
+    local.take_updates();
     local.record_success(BAD, at(3_000));
     assert_eq!(local.restriction(BAD, at(3_000)), Restriction::Clear);
-    for news in local.take_news() {
+    for news in local.take_updates() {
         remote.heard(news, at(3_010));
     }
     assert_eq!(remote.restriction(BAD, at(3_010)), Restriction::Clear);
     // Delayed announcements from before the success are ignored.
-    for news in with_crashes(2).take_news() {
+    for news in with_crashes(2).take_updates() {
         remote.heard(news, at(3_020));
     }
     assert_eq!(
@@ -92,9 +92,9 @@
 #[test]
 fn a_success_of_an_unsuspected_request_is_not_announced() {
     let mut q = with_crashes(1);
-    q.take_news();
+    q.take_updates();
     q.record_success(Fingerprints { caller: Fingerprint(8), content: Fingerprint(9) }, at(2_000));
-    assert_eq!(q.take_news(), []);
+    assert_eq!(q.take_updates(), []);
 }
 
 #[test]
@@ -178,10 +178,10 @@
 fn a_box_that_rejects_requests_announces_the_hold_at_intervals() {
     let mut q = with_crashes(3);
     assert!(is_held(&mut q, at(4_000)));
-    q.take_news();
+    q.take_updates();
     q.record_rejection(BAD, at(10_000));
     q.record_rejection(BAD, at(10_100));
-    let announced = q.take_news();
+    let announced = q.take_updates();
     assert!(
         matches!(announced[..], [RequestUpdate::Held { request, .. }] if request == BAD.caller)
     );
--- a/crates/honeypulley_proxy/src/gate.rs
+++ b/crates/honeypulley_proxy/src/gate.rs
@@ -6,7 +6,7 @@
 use crate::suspects::Suspects;
 use cadence::{Counted, CountedExt, StatsdClient, Timed};
 use futures::future::BoxFuture;
-use honeypulley_policy::chooser::{Ask, RoutingPolicy};
+use honeypulley_policy::chooser::{RequestInfo, RoutingPolicy};
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::organisations::KeyDigest;
 use honeypulley_policy::time::Time;
@@ -78,7 +78,7 @@
     /// Organisation that the request belongs to.
     pub belongs: Belongs,
     /// Request to the policy for an upstream.
-    pub ask: Ask,
+    pub ask: RequestInfo,
     /// Name of the service.
     pub service: String,
     /// Timeout of the request, if the route defines one.
--- a/crates/honeypulley_proxy/src/race.rs
+++ b/crates/honeypulley_proxy/src/race.rs
@@ -7,7 +7,7 @@
 use futures::future::{AbortHandle, Abortable, BoxFuture};
 use futures::stream::{FuturesUnordered, StreamExt};
 use honeypulley_policy::balance::RetryReason;
-use honeypulley_policy::chooser::Ask;
+use honeypulley_policy::chooser::RequestInfo;
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::quarantine::{End, Restriction};
 use honeypulley_policy::router::{AttemptKey, Refusal, UpstreamKey};
@@ -146,7 +146,7 @@
         let is_last = progress.maybe_ran() + 1 >= self.routed.attempts;
         let left = self.left();
         let repeatable = self.routed.ask.repeatable && !is_last;
-        let ask = Ask { repeatable, left, ..self.routed.ask };
+        let ask = RequestInfo { repeatable, left, ..self.routed.ask };
         let pick = match policy.pick(&ask, &progress.attempted, now) {
             Ok(p) => p,
             Err(r) => {
@@ -253,13 +253,13 @@
         let may_repeat = self.routed.ask.repeatable && self.restriction() < Restriction::NoRetry;
         may_repeat
             && self.has_attempts_left(progress)
-            && self.is_in_time()
+            && self.can_meet_deadline()
             && self.has_upstream(progress)
     }
 
     /// Returns whether another upstream is available for the request.
     fn has_upstream(&self, progress: &mut Progress) -> bool {
-        let (ask, now) = (Ask { left: self.left(), ..self.routed.ask }, self.gate.now());
+        let (ask, now) = (RequestInfo { left: self.left(), ..self.routed.ask }, self.gate.now());
         let refused =
             self.gate.chooser.lock().check_available(&ask, &progress.attempted, now).err();
         if let Some(r) = refused {
@@ -274,9 +274,9 @@
         self.gate.suspects.restriction(self.out.same, self.gate.now())
     }
 
-    fn is_in_time(&self) -> bool {
-        let ask = Ask { left: self.left(), ..self.routed.ask };
-        self.gate.chooser.lock().is_in_time(&ask)
+    fn can_meet_deadline(&self) -> bool {
+        let ask = RequestInfo { left: self.left(), ..self.routed.ask };
+        self.gate.chooser.lock().can_meet_deadline(&ask)
     }
 
     /// Returns the time left until the deadline.
@@ -285,7 +285,10 @@
     }
 
     fn should_retry_after(&self, failure: &Failure, progress: &mut Progress) -> bool {
-        if !self.has_attempts_left(progress) || !self.is_in_time() || !self.has_upstream(progress) {
+        if !self.has_attempts_left(progress)
+            || !self.can_meet_deadline()
+            || !self.has_upstream(progress)
+        {
             return false;
         }
         let restriction = self.restriction();
--- a/crates/honeypulley_proxy/src/shared.rs
+++ b/crates/honeypulley_proxy/src/shared.rs
@@ -12,7 +12,7 @@
 use cadence::{Gauged, StatsdClient};
 use honeypulley_bundle::head::Version;
 use honeypulley_bundle::keeper::InForce;
-use honeypulley_policy::chooser::Ask;
+use honeypulley_policy::chooser::RequestInfo;
 use honeypulley_policy::collector::{NameId, Report, Verdict};
 use honeypulley_policy::permits::PermitView;
 use honeypulley_policy::router::{Refusal, RefusalKind, Router, UpstreamStatus};
@@ -285,11 +285,11 @@
         let repeatable = spec.repeat.allows(is_safe(wanted.method));
         Ok(Routed {
             belongs: Belongs::Unasked,
-            ask: Ask {
+            ask: RequestInfo {
                 service,
                 repeatable,
                 priority: 0,
-                bulky: false,
+                large_response: false,
                 aim: None,
                 left: None,
                 route: NameId::of(name),
--- a/crates/honeypulley_proxy/src/suspects.rs
+++ b/crates/honeypulley_proxy/src/suspects.rs
@@ -59,7 +59,7 @@
         change(&mut quarantine);
         quarantine.take_new_holds().iter().for_each(log_hold);
         // There are no peers to send announcements to.
-        drop(quarantine.take_news());
+        drop(quarantine.take_updates());
     }
 }
 
--- a/crates/honeypulley_proxy/tests/race/support.rs
+++ b/crates/honeypulley_proxy/tests/race/support.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use cadence::{NopMetricSink, StatsdClient};
 use honeypulley_policy::balance::{Balancer, RetryHistory, RetryRule, UpstreamEntry};
-use honeypulley_policy::chooser::{Ask, RoutingPolicy};
+use honeypulley_policy::chooser::{RequestInfo, RoutingPolicy};
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::quarantine::{Fingerprint, Fingerprints};
 use honeypulley_policy::router::ServiceKey;
@@ -77,11 +77,11 @@
 
 /// Creates the request, which is not repeatable.
 pub fn race(test: &TestGate, left: Duration) -> Race {
-    let ask = Ask {
+    let ask = RequestInfo {
         service: test.service,
         repeatable: false,
         priority: 0,
-        bulky: false,
+        large_response: false,
         aim: Some(Duration::from_millis(200)),
         left: None,
         route: NameId::of("r"),
--- a/tools/trial/src/model/traffic.rs
+++ b/tools/trial/src/model/traffic.rs
@@ -4,7 +4,7 @@
     AttemptKey, Event, FAULT_AT, Fault, Outcome, Place, Policy, Request, SECOND_HOP, SIGMA,
     SPELL_EVERY, SPELL_FAILS, SPELL_TIME, World, number,
 };
-use honeypulley_policy::chooser::{Ask, RoutingPolicy};
+use honeypulley_policy::chooser::{RequestInfo, RoutingPolicy};
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::router::{Reason, UpstreamKey};
 use std::time::Duration;
@@ -94,11 +94,11 @@
             Policy::Naive => Some((self.naive[b].pick(now, &mut self.rng)?, None, true)),
             Policy::Oracle => Some((self.best(), None, true)),
             Policy::Belief => {
-                let ask = Ask {
+                let ask = RequestInfo {
                     service: self.services[b],
                     repeatable: self.s.repeatable,
                     priority: 0,
-                    bulky: false,
+                    large_response: false,
                     aim: Some(self.s.size.deadline / 5),
                     left: Some(self.s.size.deadline),
                     route: NameId::of("r"),
@@ -130,7 +130,7 @@
 
     /// Hands what a box has to tell to the others, a millisecond later.
     pub(super) fn tell(&mut self, b: usize) {
-        for news in self.balancers[b].take_news() {
+        for news in self.balancers[b].take_updates() {
             let near = news.is_for_hall();
             for to in (0..self.s.size.boxes).filter(|&to| to != b) {
                 if near && to % self.s.size.halls != b % self.s.size.halls {
