--- a/crates/honeypulley_policy/tests/limits/fleet.rs
+++ b/crates/honeypulley_policy/tests/limits/fleet.rs
@@ -2,7 +2,7 @@
 //!
 //! The simulation uses neither sockets nor clocks and is deterministic for a given seed.
 
-use crate::strategies::{Alone, Batches, Drawn, EqualShare, Hall, HallShare, Limiter, Told};
+use crate::ways::{Alone, Batches, Drawn, EqualShare, Hall, HallShare, Limiter, Told};
 use honeypulley_policy::balance::{RetryHistory, Update};
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::fleet_limits::RateLimit;
--- a/crates/honeypulley_policy/tests/limits/main.rs
+++ b/crates/honeypulley_policy/tests/limits/main.rs
@@ -7,8 +7,8 @@
 
 mod alone;
 mod fleet;
-mod strategies;
 mod upstreams;
+mod ways;
 
 use fleet::{ORGANISATION, Outcome, Plan, Strategy, simulate};
 use honeypulley_policy::fleet_limits::RateLimit;
