--- a/crates/honeypulley_mesh/src/peers/tell.rs
+++ b/crates/honeypulley_mesh/src/peers/tell.rs
@@ -7,8 +7,8 @@
 use bytes::Bytes;
 use honeypulley_peer::codec::{Body, Datagram, ListUpdate, MAX_ITEMS};
 use honeypulley_peer::requests::MAX_REQUESTS;
-use honeypulley_policy::balance::News;
-use honeypulley_policy::quarantine::{Hold, RequestNews};
+use honeypulley_policy::balance::Update;
+use honeypulley_policy::quarantine::{Hold, RequestUpdate};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -106,15 +106,15 @@
         let news = &self.mesh.updates_out;
         let mut batcher = UpdateBatcher::default();
         loop {
-            let mut batch: Vec<News> = self.next_news(&batcher).await.into_iter().collect();
+            let mut batch: Vec<Update> = self.next_news(&batcher).await.into_iter().collect();
             while batch.len() < MAX_ITEMS
                 && let Some(n) = news.pop()
             {
                 batch.push(n);
             }
             let now = self.mesh.now();
-            let (local, global): (Vec<News>, Vec<News>) =
-                batch.into_iter().partition(News::is_for_hall);
+            let (local, global): (Vec<Update>, Vec<Update>) =
+                batch.into_iter().partition(Update::is_for_hall);
             if !global.is_empty() {
                 let body = self.number_news(global);
                 self.broadcast(body, UPSTREAM_FORWARDERS);
@@ -156,13 +156,13 @@
         self.broadcast_requests(selected.map(Hold::news).collect());
     }
 
-    fn broadcast_requests(&self, items: Vec<RequestNews>) {
+    fn broadcast_requests(&self, items: Vec<RequestUpdate>) {
         let seq = self.sequence.borrow_mut().next();
         self.broadcast(Body::Requests { seq, items }, LIST_FORWARDERS);
     }
 
     /// Awaits an observation; returns `None` when paced observations are due first.
-    async fn next_news(&self, batcher: &UpdateBatcher) -> Option<News> {
+    async fn next_news(&self, batcher: &UpdateBatcher) -> Option<Update> {
         let next = self.mesh.updates_out.recv();
         let Some(due) = batcher.deadline(self.mesh.address_book().hall_addresses().count()) else {
             return Some(next.await);
@@ -172,7 +172,7 @@
     }
 
     /// Wraps observations into a body with the next sequence number.
-    pub(super) fn number_news(&self, items: Vec<News>) -> Body {
+    pub(super) fn number_news(&self, items: Vec<Update>) -> Body {
         Body::News { seq: self.sequence.borrow_mut().next(), items }
     }
 
--- a/crates/honeypulley_mesh/src/state.rs
+++ b/crates/honeypulley_mesh/src/state.rs
@@ -15,10 +15,10 @@
 use honeypulley_peer::listing::BoxAddress;
 use honeypulley_peer::server::Held;
 use honeypulley_platform::api::Object;
-use honeypulley_policy::balance::{Balancer, News, Reach};
+use honeypulley_policy::balance::{Balancer, FleetScope, Update};
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::fleet_limits::Scope;
-use honeypulley_policy::quarantine::{Quarantine, RequestNews};
+use honeypulley_policy::quarantine::{Quarantine, RequestUpdate};
 use honeypulley_policy::revision::Revision;
 use honeypulley_policy::routes::RouteTable;
 use honeypulley_policy::time::Time;
@@ -119,15 +119,15 @@
     /// Routing table in force; set by the serving thread.
     pub in_force: ArcSwapOption<RouteTable>,
     /// News of this box, to be sent to the other boxes.
-    pub updates_out: Ring<News>,
+    pub updates_out: Ring<Update>,
     /// News received from other boxes, for the serving thread.
-    pub updates_in: Ring<(NameId, News)>,
+    pub updates_in: Ring<(NameId, Update)>,
     /// News of requests during which upstreams failed, to be sent to the other boxes.
-    pub requests_out: Ring<RequestNews>,
+    pub requests_out: Ring<RequestUpdate>,
     /// Boxes that have just started and request this box's beliefs about upstreams.
     pub belief_requests: Ring<SocketAddr>,
     /// Replies to those requests, each with the address of the requesting box.
-    pub belief_replies: Ring<(SocketAddr, Vec<News>)>,
+    pub belief_replies: Ring<(SocketAddr, Vec<Update>)>,
     /// Wakes the serving thread after a change of the table or the list.
     pub serve_wakeup: Notify,
     /// Wakes the peer duty to broadcast news.
@@ -272,7 +272,10 @@
     /// Updates a balancer's view of the boxes that share its fleet-wide counts.
     pub fn update_fleet_scope(&self, balancer: &mut Balancer, now: Time) {
         let book = self.book.lock();
-        balancer.set_reach(Reach { boxes: book.count(), in_touch: book.has_reachable_peer(now) });
+        balancer.set_fleet_scope(FleetScope {
+            boxes: book.count(),
+            in_touch: book.has_reachable_peer(now),
+        });
         balancer.set_halls(book.hall_sizes(), book.is_isolated(now));
     }
 
--- a/crates/honeypulley_policy/src/balance.rs
+++ b/crates/honeypulley_policy/src/balance.rs
@@ -29,13 +29,13 @@
 use crate::time::Time;
 use admit::QueueAverage;
 use failing::FailureWindow;
-pub use heard::Doubt;
+pub use heard::Suspicion;
 use illness::FailureModes;
-pub use named::NamedLimit;
+pub use named::AdvertisedLimit;
 use named::RateLimits;
-pub use news::News;
+pub use news::Update;
 use retry::RetryWindow;
-pub use retry::{BudgetUse, Past, Reach, Resend, RetryRule};
+pub use retry::{BudgetUsage, FleetScope, RetryHistory, RetryReason, RetryRule};
 use signals::{Declared, Unlisted};
 use sizes::AnswerSizes;
 use slotmap::SlotMap;
@@ -49,7 +49,7 @@
 /// Default cost, in requests, of a megabyte sent across data halls.
 ///
 /// A download of 90 kB then costs 0.45 of a request.
-pub const DEFAULT_HALL_PRICE: f64 = 5.0;
+pub const DEFAULT_TRANSFER_COST: f64 = 5.0;
 const BYTES_PER_MB: f64 = 1e6;
 /// Maximum number of ended incarnations that are kept for attempts still in flight there.
 ///
@@ -58,7 +58,7 @@
 
 /// An upstream as listed, with its capacity and start time.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Listed {
+pub struct UpstreamEntry {
     /// Name, service, address, data hall and state.
     pub member: Member,
     /// Requests that it processes concurrently.
@@ -69,7 +69,7 @@
     pub born: Option<u64>,
 }
 
-impl Listed {
+impl UpstreamEntry {
     /// Returns the id of this incarnation of the upstream.
     ///
     /// A restarted upstream keeps no state, so nothing that was learnt of the previous
@@ -207,7 +207,7 @@
     /// Number of attempts of this box in flight.
     pub open: usize,
     /// The rate limit that it advertises.
-    pub limit: Option<NamedLimit>,
+    pub limit: Option<AdvertisedLimit>,
     /// Remaining backoff that it requested from this box.
     pub backoff: Option<Duration>,
 }
@@ -217,7 +217,7 @@
 pub struct Balancer {
     hall: String,
     hall_id: NameId,
-    reach: Reach,
+    reach: FleetScope,
     /// Number of boxes in this data hall, including this one.
     hall_boxes: usize,
     /// Number of boxes in each data hall.
@@ -225,7 +225,7 @@
     /// Whether this box is isolated from its peers.
     isolated: bool,
     retry_rule: RetryRule,
-    past: Past,
+    past: RetryHistory,
     services: SlotMap<ServiceKey, Service>,
     by_name: BTreeMap<String, ServiceKey>,
     services_by_id: BTreeMap<NameId, ServiceKey>,
@@ -244,10 +244,10 @@
     unlisted: Unlisted,
     /// Boxes that reported an upstream as unreachable which then answered others, and when.
     contradicted: BTreeMap<NameId, Time>,
-    listed: BTreeMap<String, Listed>,
+    listed: BTreeMap<String, UpstreamEntry>,
     /// Latest ended incarnations of upstreams that have restarted.
     restarted: VecDeque<UpstreamKey>,
-    news: Vec<News>,
+    news: Vec<Update>,
     rng: fastrand::Rng,
     /// Seed that makes the random draws of this box differ from those of others.
     seed: u64,
@@ -260,13 +260,13 @@
         Self {
             hall: hall.to_owned(),
             hall_id: NameId::of(hall),
-            reach: Reach { boxes: 1, in_touch: true },
+            reach: FleetScope { boxes: 1, in_touch: true },
             hall_boxes: 1,
             halls: BTreeMap::from([(NameId::of(hall), 1)]),
             isolated: false,
-            limits: RateLimits::new(hall, Past::Unknown, seed),
+            limits: RateLimits::new(hall, RetryHistory::Unknown, seed),
             retry_rule,
-            past: Past::Unknown,
+            past: RetryHistory::Unknown,
             services: SlotMap::with_key(),
             by_name: BTreeMap::new(),
             services_by_id: BTreeMap::new(),
@@ -275,7 +275,7 @@
             attempts: SlotMap::with_key(),
             route_latencies: BTreeMap::new(),
             sizes: AnswerSizes::default(),
-            byte_cost: DEFAULT_HALL_PRICE / BYTES_PER_MB,
+            byte_cost: DEFAULT_TRANSFER_COST / BYTES_PER_MB,
             failure_modes: FailureModes::default(),
             unlisted: Unlisted::default(),
             contradicted: BTreeMap::new(),
@@ -289,7 +289,7 @@
 
     /// Sets what is known of retries before this box started.
     #[must_use]
-    pub fn with_past(mut self, past: Past) -> Self {
+    pub fn with_retry_history(mut self, past: RetryHistory) -> Self {
         self.past = past;
         self.limits = RateLimits::new(&self.hall, past, self.seed);
         self
@@ -297,7 +297,7 @@
 
     /// Sets the cost, in requests, of a megabyte sent across data halls.
     #[must_use]
-    pub fn with_hall_price(mut self, requests: f64) -> Self {
+    pub fn with_transfer_cost(mut self, requests: f64) -> Self {
         self.byte_cost = requests / BYTES_PER_MB;
         self
     }
@@ -305,7 +305,7 @@
     /// Sets the boxes that share the retry budget.
     ///
     /// They count as boxes of this data hall unless [`Self::set_halls`] says otherwise.
-    pub fn set_reach(&mut self, reach: Reach) {
+    pub fn set_fleet_scope(&mut self, reach: FleetScope) {
         self.reach = reach;
         if self.halls.len() < 2 {
             self.hall_boxes = reach.boxes;
@@ -328,7 +328,7 @@
     pub fn set_services(&mut self, specs: &[ServiceSpec], now: Time) {
         let mut removed: BTreeSet<String> = self.by_name.keys().cloned().collect();
         // A service that is added later had no requests before this box learned of it.
-        let past = if self.by_name.is_empty() { self.past } else { Past::Empty };
+        let past = if self.by_name.is_empty() { self.past } else { RetryHistory::Empty };
         for spec in specs {
             removed.remove(&spec.name);
             if let Some(&k) = self.by_name.get(&spec.name) {
@@ -338,7 +338,7 @@
             let k = self.services.insert(Service::new(spec.clone(), past, now));
             self.by_name.insert(spec.name.clone(), k);
             self.services_by_id.insert(NameId::of(&spec.name), k);
-            let waiting: Vec<Listed> =
+            let waiting: Vec<UpstreamEntry> =
                 self.listed.values().filter(|l| l.member.service == spec.name).cloned().collect();
             for l in waiting {
                 self.add_upstream(k, &l, now);
@@ -355,9 +355,9 @@
     }
 
     /// Adds or updates a list entry.
-    pub fn set_upstream(&mut self, l: Listed, now: Time) {
+    pub fn set_upstream(&mut self, l: UpstreamEntry, now: Time) {
         let name = l.member.name.clone();
-        let previous = self.listed.get(&name).map(Listed::life).filter(|&id| id != l.life());
+        let previous = self.listed.get(&name).map(UpstreamEntry::life).filter(|&id| id != l.life());
         if let Some(k) = previous.and_then(|id| self.by_id.get(&id).copied()) {
             self.end_incarnation(k);
         }
@@ -396,7 +396,7 @@
         }
     }
 
-    fn add_upstream(&mut self, service: ServiceKey, l: &Listed, now: Time) {
+    fn add_upstream(&mut self, service: ServiceKey, l: &UpstreamEntry, now: Time) {
         let id = l.life();
         let leaving = l.member.state == MemberState::Leaving;
         if let Some(u) = self.by_id.get(&id).and_then(|&k| self.upstreams.get_mut(k)) {
@@ -457,7 +457,7 @@
     }
 
     /// Drains the announcements to broadcast.
-    pub fn take_news(&mut self) -> Vec<News> {
+    pub fn take_updates(&mut self) -> Vec<Update> {
         std::mem::take(&mut self.news)
     }
 
@@ -471,7 +471,7 @@
             sick: u.shared.chance(now),
             path: u.path.chance(now),
             open: u.in_flight.len(),
-            limit: self.limit_of(k, now),
+            limit: self.advertised_limit(k, now),
             backoff: u.backoff_left(now),
         };
         self.upstreams.iter().map(row).collect()
@@ -485,7 +485,7 @@
 }
 
 impl Service {
-    fn new(spec: ServiceSpec, past: Past, added: Time) -> Self {
+    fn new(spec: ServiceSpec, past: RetryHistory, added: Time) -> Self {
         Self {
             id: NameId::of(&spec.name),
             latencies: LatencyHistogram::default(),
--- a/crates/honeypulley_policy/src/balance/choice.rs
+++ b/crates/honeypulley_policy/src/balance/choice.rs
@@ -2,9 +2,9 @@
 
 use super::doubt::latency_prior;
 use super::trial::ProbeRule;
-use super::{Attempt, Balancer, BudgetUse, DEFAULT_TARGET, Resend, Service, Upstream};
+use super::{Attempt, Balancer, BudgetUsage, DEFAULT_TARGET, RetryReason, Service, Upstream};
 use crate::belief::FAILS_SICK;
-use crate::chooser::{Ask, Chooser, Inputs, Place};
+use crate::chooser::{Endpoint, PickInputs, RequestInfo, RoutingPolicy};
 use crate::router::{
     AttemptKey, Outcome, Pick, Reason, Refusal, RefusalKind, ServiceKey, UpstreamKey, jitter,
 };
@@ -53,8 +53,13 @@
     }
 }
 
-impl Chooser for Balancer {
-    fn pick(&mut self, ask: &Ask, tried: &[UpstreamKey], now: Time) -> Result<Pick, Refusal> {
+impl RoutingPolicy for Balancer {
+    fn pick(
+        &mut self,
+        ask: &RequestInfo,
+        tried: &[UpstreamKey],
+        now: Time,
+    ) -> Result<Pick, Refusal> {
         let Some(s) = self.services.get(ask.service) else {
             return Err(self.refuse(RefusalKind::NoUpstream, NO_UPSTREAM_WAIT));
         };
@@ -93,63 +98,68 @@
         Ok(Pick { attempt, upstream, reason })
     }
 
-    fn place(&self, k: UpstreamKey) -> Option<Place<'_>> {
-        self.upstreams.get(k).map(|u| Place { name: &u.name, addr: &u.addr })
+    fn place(&self, k: UpstreamKey) -> Option<Endpoint<'_>> {
+        self.upstreams.get(k).map(|u| Endpoint { name: &u.name, addr: &u.addr })
     }
 
     fn has_restarted(&self, k: UpstreamKey) -> bool {
         self.restarted.contains(&k)
     }
 
-    fn inputs(&self, k: UpstreamKey, now: Time) -> Inputs {
-        self.upstreams.get(k).map_or_else(Inputs::default, |u| Inputs {
+    fn inputs(&self, k: UpstreamKey, now: Time) -> PickInputs {
+        self.upstreams.get(k).map_or_else(PickInputs::default, |u| PickInputs {
             sick: self.unhealthy_chance(k, now),
             path: u.path.chance(now),
             busy: u.busy(now),
             near: u.local,
             load_age: u.remote.map(|r| now.since(r.at)),
-            limit: self.limit_of(k, now),
-            ..Inputs::default()
+            limit: self.advertised_limit(k, now),
+            ..PickInputs::default()
         })
     }
 
-    fn expected(&self, ask: &Ask, now: Time) -> Option<Duration> {
+    fn expected(&self, ask: &RequestInfo, now: Time) -> Option<Duration> {
         let s = self.services.get(ask.service)?;
         let open = s.upstreams.iter().filter(|&&k| !self.upstreams[k].is_leaving());
         let wait = open.map(|&k| self.wait(k, ask, now)).min()?;
         Some(wait + self.latency_quantile(ask, 0.5))
     }
 
-    fn look_after(&self, ask: &Ask, age: Duration) -> Duration {
+    fn recheck_delay(&self, ask: &RequestInfo, age: Duration) -> Duration {
         self.next_check(ask, age)
     }
 
-    fn still_open(&mut self, k: AttemptKey, now: Time) {
+    fn is_in_flight(&mut self, k: AttemptKey, now: Time) {
         self.record_in_flight(k, now);
     }
 
-    fn hedge(&self, ask: &Ask, k: AttemptKey, now: Time) -> Option<f64> {
+    fn hedge(&self, ask: &RequestInfo, k: AttemptKey, now: Time) -> Option<f64> {
         self.unanswered_chance(ask, k, now)
     }
 
-    fn is_in_time(&self, ask: &Ask) -> bool {
+    fn can_meet_deadline(&self, ask: &RequestInfo) -> bool {
         ask.left.is_none_or(|left| left >= self.latency_quantile(ask, IN_TIME_QUANTILE))
     }
 
-    fn may_send(&mut self, ask: &Ask, tried: &[UpstreamKey], now: Time) -> Result<(), Refusal> {
+    fn check_available(
+        &mut self,
+        ask: &RequestInfo,
+        tried: &[UpstreamKey],
+        now: Time,
+    ) -> Result<(), Refusal> {
         if self.sendable(ask, tried, now)?.is_empty() {
             return Err(self.refuse(RefusalKind::NoUpstream, NO_UPSTREAM_WAIT));
         }
         Ok(())
     }
 
-    fn spend_retry(&mut self, k: ServiceKey, why: Resend, now: Time) -> bool {
+    fn spend_retry(&mut self, k: ServiceKey, why: RetryReason, now: Time) -> bool {
         self.spend(k, why, now)
     }
 
-    fn budget_use(&self, k: ServiceKey, now: Time) -> BudgetUse {
+    fn budget_use(&self, k: ServiceKey, now: Time) -> BudgetUsage {
         let usage = |s: &Service| s.retries.usage(&self.retry_rule, now);
-        self.services.get(k).map_or_else(BudgetUse::default, usage)
+        self.services.get(k).map_or_else(BudgetUsage::default, usage)
     }
 
     fn answered(&mut self, k: AttemptKey, ok: bool, now: Time) {
@@ -166,7 +176,7 @@
         self.record_signals(k, s, now)
     }
 
-    fn limit_withdrawn(&mut self, k: AttemptKey) -> bool {
+    fn clear_limit(&mut self, k: AttemptKey) -> bool {
         self.withdraw_limit(k)
     }
 
@@ -180,7 +190,7 @@
     fn least_loss(
         &mut self,
         open: &[UpstreamKey],
-        ask: &Ask,
+        ask: &RequestInfo,
         service_time: Duration,
         now: Time,
     ) -> Option<UpstreamKey> {
@@ -196,7 +206,7 @@
     }
 
     /// Returns the expected loss of one attempt, in requests.
-    fn loss(&self, k: UpstreamKey, ask: &Ask, service_time: Duration, now: Time) -> f64 {
+    fn loss(&self, k: UpstreamKey, ask: &RequestInfo, service_time: Duration, now: Time) -> f64 {
         let u = &self.upstreams[k];
         let failure = self.fault_chance(k, now) * FAILS_SICK;
         let weight = if ask.repeatable { REPEATABLE_LOSS } else { UNSAFE_LOSS };
@@ -205,7 +215,8 @@
         let targets = wait.as_secs_f64() / ask.aim.unwrap_or(DEFAULT_TARGET).as_secs_f64();
         let mut loss = failure * weight + targets * WAIT_LOSS + busy / u.slots * CONCURRENCY_LOSS;
         if !u.local {
-            loss += CROSS_HALL_LOSS + self.sizes.expected(ask.route, ask.bulky) * self.byte_cost;
+            loss += CROSS_HALL_LOSS
+                + self.sizes.expected(ask.route, ask.large_response) * self.byte_cost;
         }
         if now < u.cold_until {
             loss += WARMUP_LOSS;
--- a/crates/honeypulley_policy/src/balance/named.rs
+++ b/crates/honeypulley_policy/src/balance/named.rs
@@ -7,10 +7,10 @@
 //! upstream of a service advertises a limit, this would leave the callers of some data halls
 //! with nothing, so a few data halls each get a share of every limit.
 
-use super::{Balancer, News, Past, Service, Upstream};
-use crate::chooser::Ask;
+use super::{Balancer, RetryHistory, Service, Update, Upstream};
+use crate::chooser::RequestInfo;
 use crate::collector::NameId;
-use crate::fleet_limits::{FleetLimits, LimitRule, RateLimit, Scope};
+use crate::fleet_limits::{FleetRateLimiter, LimitRule, RateLimit, Scope};
 use crate::placement::weight;
 use crate::router::{AttemptKey, UpstreamKey};
 use crate::time::Time;
@@ -43,7 +43,7 @@
 
 /// Rate limit of one upstream, as known to this box.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct NamedLimit {
+pub struct AdvertisedLimit {
     /// Requests per second that it accepts from all boxes.
     pub rate: f64,
     /// Share of the rate that this data hall may use.
@@ -82,13 +82,13 @@
 /// Rate limits that upstreams advertise, as known to this box.
 #[derive(Debug)]
 pub(super) struct RateLimits {
-    buckets: FleetLimits,
+    buckets: FleetRateLimiter,
     entries: BTreeMap<NameId, LimitEntry>,
 }
 
 impl RateLimits {
-    pub(super) fn new(hall: &str, past: Past, seed: u64) -> Self {
-        let buckets = FleetLimits::new(hall, BUCKET_RULE, past, seed, Time::ZERO);
+    pub(super) fn new(hall: &str, past: RetryHistory, seed: u64) -> Self {
+        let buckets = FleetRateLimiter::new(hall, BUCKET_RULE, past, seed, Time::ZERO);
         Self { buckets, entries: BTreeMap::new() }
     }
 
@@ -99,7 +99,7 @@
 
     /// Records what a box of this data hall sent to an upstream.
     pub(super) fn apply_admitted(&mut self, from: NameId, id: NameId, sum: u16, now: Time) {
-        self.buckets.heard_box(from, id, sum, now);
+        self.buckets.apply_box_count(from, id, sum, now);
     }
 
     /// Returns the limit of an upstream unless it has expired.
@@ -161,7 +161,7 @@
         let is_lifted = self.limits.entries.get(&id).is_some_and(|n| started > n.at);
         if is_lifted {
             self.limits.discard(id);
-            self.news.push(News::Limit { upstream: id, rate: None });
+            self.news.push(Update::Limit { upstream: id, rate: None });
         }
         is_lifted
     }
@@ -176,7 +176,7 @@
         let Some(n) = self.limits.entries.get_mut(&id) else { return };
         if is_changed || now.since(n.announced) >= RENEW_INTERVAL {
             n.announced = now;
-            self.news.push(News::Limit { upstream: id, rate: Some(n.rate as f32) });
+            self.news.push(Update::Limit { upstream: id, rate: Some(n.rate as f32) });
         }
     }
 
@@ -196,9 +196,9 @@
     }
 
     /// Returns the current limits for a newly started box.
-    pub(super) fn limits_in_force(&self, now: Time) -> impl Iterator<Item = News> {
+    pub(super) fn limits_in_force(&self, now: Time) -> impl Iterator<Item = Update> {
         let current = self.limits.entries.iter().filter(move |(_, n)| n.is_in_force(now));
-        current.map(|(&upstream, n)| News::Limit { upstream, rate: Some(n.rate as f32) })
+        current.map(|(&upstream, n)| Update::Limit { upstream, rate: Some(n.rate as f32) })
     }
 
     /// Filters out upstreams whose rate limit is exhausted.
@@ -207,7 +207,7 @@
     pub(super) fn filter_limited(
         &mut self,
         open: Vec<UpstreamKey>,
-        ask: &Ask,
+        ask: &RequestInfo,
         now: Time,
     ) -> (Vec<UpstreamKey>, Option<Duration>) {
         if self.limits.entries.is_empty() || open.is_empty() {
@@ -232,7 +232,7 @@
     fn check_limit(
         &mut self,
         k: UpstreamKey,
-        ask: &Ask,
+        ask: &RequestInfo,
         division: Division,
         now: Time,
     ) -> Result<(), Duration> {
@@ -300,16 +300,16 @@
         let Some(id) = self.upstreams.get(k).map(|u| u.id) else { return };
         if self.limits.in_force(id, now).is_some() {
             self.limits.buckets.take(id, now);
-            self.news.extend(self.limits.buckets.take_news());
+            self.news.extend(self.limits.buckets.take_updates());
         }
     }
 
     /// Returns the rate limit of an upstream, if it advertises one.
     #[must_use]
-    pub fn limit_of(&self, k: UpstreamKey, now: Time) -> Option<NamedLimit> {
+    pub fn advertised_limit(&self, k: UpstreamKey, now: Time) -> Option<AdvertisedLimit> {
         let id = self.upstreams.get(k)?.id;
         let n = self.limits.in_force(id, now)?;
         let left = self.limits.buckets.level(id);
-        Some(NamedLimit { rate: n.rate, part: n.part, left })
+        Some(AdvertisedLimit { rate: n.rate, part: n.part, left })
     }
 }
--- a/crates/honeypulley_policy/src/balance/signals.rs
+++ b/crates/honeypulley_policy/src/balance/signals.rs
@@ -4,8 +4,8 @@
 //! that disappears and returns does not.
 
 use super::admit::RETRY_AFTER_BOUNDS;
-use super::{Balancer, News, RemoteLoad, Upstream};
-use crate::chooser::Ask;
+use super::{Balancer, RemoteLoad, Update, Upstream};
+use crate::chooser::RequestInfo;
 use crate::collector::NameId;
 use crate::router::{AttemptKey, Refusal, RefusalKind, UpstreamKey};
 use crate::signals::{SignalChanges, Signals};
@@ -89,7 +89,7 @@
             (s.leaving && d.record_shutdown(), until.is_some_and(|t| d.extend_backoff(t)))
         });
         if leaving {
-            self.news.push(News::Leaving { upstream: a.id });
+            self.news.push(Update::Leaving { upstream: a.id });
         }
         let limit = s.limit.is_some_and(|rate| self.record_limit(k, rate, now));
         SignalChanges { limit, leaving, backoff }
@@ -114,7 +114,7 @@
     /// Refuses the request if there is none, with the time until one becomes available.
     pub(super) fn sendable(
         &mut self,
-        ask: &Ask,
+        ask: &RequestInfo,
         tried: &[UpstreamKey],
         now: Time,
     ) -> Result<Vec<UpstreamKey>, Refusal> {
@@ -140,7 +140,7 @@
     }
 
     /// Records a shutdown announced by a peer; returns the upstream's name if it is new.
-    pub fn learn_leaving(&mut self, id: NameId) -> Option<&str> {
+    pub fn record_shutdown(&mut self, id: NameId) -> Option<&str> {
         let is_new = self.update_declared(id, Declared::record_shutdown);
         let u = self.by_id.get(&id).and_then(|&k| self.upstreams.get(k))?;
         is_new.then_some(u.name.as_str())
@@ -149,9 +149,9 @@
     /// Returns the announced shutdowns that the list does not show.
     ///
     /// They are sent to a newly started box.
-    pub(super) fn announced_shutdowns(&self) -> impl Iterator<Item = News> {
+    pub(super) fn announced_shutdowns(&self) -> impl Iterator<Item = Update> {
         let unlisted = self.upstreams.values().filter(|u| u.declared.leaving && !u.leaving);
-        unlisted.map(|u| News::Leaving { upstream: u.id })
+        unlisted.map(|u| Update::Leaving { upstream: u.id })
     }
 }
 
--- a/crates/honeypulley_policy/tests/load/hall.rs
+++ b/crates/honeypulley_policy/tests/load/hall.rs
@@ -5,8 +5,10 @@
 
 use crate::plan::{Plan, Policy};
 use crate::worker::Worker;
-use honeypulley_policy::balance::{Balancer, Listed, News, Past, Reach, Resend, RetryRule};
-use honeypulley_policy::chooser::{Ask, Chooser};
+use honeypulley_policy::balance::{
+    Balancer, FleetScope, RetryHistory, RetryReason, RetryRule, Update, UpstreamEntry,
+};
+use honeypulley_policy::chooser::{RequestInfo, RoutingPolicy};
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::router::{AttemptKey, Outcome, Reason, UpstreamKey};
 use honeypulley_policy::signals::Signals;
@@ -130,9 +132,9 @@
     by_name: BTreeMap<String, usize>,
     /// Upstream keys of each box, valid once it has sent a request there.
     keys: Vec<Vec<UpstreamKey>>,
-    news: VecDeque<(u64, usize, Vec<News>)>,
+    news: VecDeque<(u64, usize, Vec<Update>)>,
     /// Batched news of each box and the times at which they arose.
-    batched: Vec<Vec<(u64, News)>>,
+    batched: Vec<Vec<(u64, Update)>>,
     requests: Vec<Request>,
     /// Start time of each request and whether it was served.
     outcomes: Vec<(u64, bool)>,
@@ -209,12 +211,12 @@
         if self.plan.fails_after_ms > 0 { self.plan.fails_after_ms } else { TIMEOUT_MS }
     }
 
-    fn ask(&self, r: &Request, now: u64) -> Ask {
-        Ask {
+    fn ask(&self, r: &Request, now: u64) -> RequestInfo {
+        RequestInfo {
             service: self.boxes[r.from].service("s").expect("service is configured"),
             repeatable: r.repeatable,
             priority: 0,
-            bulky: false,
+            large_response: false,
             aim: Some(Duration::from_millis(TARGET_MS)),
             left: Some(Duration::from_millis((r.began + self.limit()).saturating_sub(now))),
             route: NameId(u64::from(r.repeatable)),
@@ -308,10 +310,10 @@
         let hold = (BATCH_PER_BOX_MS * (self.plan.boxes - 1) as f64).min(MAX_BATCH_MS) as u64;
         for (from, b) in self.boxes.iter_mut().enumerate() {
             let batched = &mut self.batched[from];
-            batched.extend(b.take_news().into_iter().map(|n| (now, n)));
+            batched.extend(b.take_updates().into_iter().map(|n| (now, n)));
             let waits = batched.first().is_none_or(|&(at, _)| now < at + hold);
-            if !waits || !batched.iter().all(|(_, n)| n.can_wait()) {
-                let aged = |(at, n): (u64, News)| n.aged(Duration::from_millis(now - at));
+            if !waits || !batched.iter().all(|(_, n)| n.is_deferrable()) {
+                let aged = |(at, n): (u64, Update)| n.aged(Duration::from_millis(now - at));
                 let news = batched.drain(..).map(aged).collect();
                 self.news.push_back((now + NEWS_DELAY_MS, from, news));
             }
@@ -324,7 +326,7 @@
         let Some(sent) = r.open else { return };
         if sent.ends > now {
             if let Some(key) = sent.key {
-                self.boxes[r.from].still_open(key, at);
+                self.boxes[r.from].is_in_flight(key, at);
             }
             self.requests.push(r);
             return;
@@ -355,8 +357,8 @@
         }
         (r.repeatable || end == End::Rejected)
             && r.tried.len() < MAX_ATTEMPTS
-            && b.is_in_time(&ask)
-            && b.spend_retry(ask.service, Resend::Failed, Time::from_millis(now))
+            && b.can_meet_deadline(&ask)
+            && b.spend_retry(ask.service, RetryReason::Failed, Time::from_millis(now))
     }
 
     /// Reports the result of an attempt to the box.
@@ -377,7 +379,7 @@
                 b.answered(key, sent.end == End::Served, at);
                 b.signalled(key, &Signals { limit: sent.limit, ..Signals::default() }, at);
                 if sent.limit.is_none() {
-                    b.limit_withdrawn(key);
+                    b.clear_limit(key);
                 }
                 Outcome::Whole
             }
@@ -437,9 +439,9 @@
 fn new_box(plan: &Plan, seed: u64) -> Balancer {
     let slack = 1.5 * plan.boxes as f64;
     let rule = RetryRule { ratio: 0.2, slack, window: Duration::from_secs(10) };
-    let mut b = Balancer::new("h", rule, seed).with_past(Past::Empty);
+    let mut b = Balancer::new("h", rule, seed).with_retry_history(RetryHistory::Empty);
     b.set_services(&[ServiceSpec::builder().name("s").build()], Time::ZERO);
-    b.set_reach(Reach { boxes: plan.boxes, in_touch: true });
+    b.set_fleet_scope(FleetScope { boxes: plan.boxes, in_touch: true });
     for i in 0..plan.upstreams {
         let member = Member {
             name: name(i),
@@ -449,7 +451,7 @@
             state: MemberState::Live,
         };
         b.set_upstream(
-            Listed { member, slots: plan.slots, cold: Duration::ZERO, born: None },
+            UpstreamEntry { member, slots: plan.slots, cold: Duration::ZERO, born: None },
             Time::ZERO,
         );
     }
--- a/crates/honeypulley_proxy/src/gate.rs
+++ b/crates/honeypulley_proxy/src/gate.rs
@@ -6,7 +6,7 @@
 use crate::suspects::Suspects;
 use cadence::{Counted, CountedExt, StatsdClient, Timed};
 use futures::future::BoxFuture;
-use honeypulley_policy::chooser::{Ask, Chooser};
+use honeypulley_policy::chooser::{RequestInfo, RoutingPolicy};
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::organisations::KeyDigest;
 use honeypulley_policy::time::Time;
@@ -78,7 +78,7 @@
     /// Organisation that the request belongs to.
     pub belongs: Belongs,
     /// Request to the policy for an upstream.
-    pub ask: Ask,
+    pub ask: RequestInfo,
     /// Name of the service.
     pub service: String,
     /// Timeout of the request, if the route defines one.
@@ -122,7 +122,7 @@
 /// exists because the HTTP library requires `Send`.
 pub struct Gate {
     /// The policy.
-    pub chooser: Arc<Mutex<dyn Chooser>>,
+    pub chooser: Arc<Mutex<dyn RoutingPolicy>>,
     /// Routes in force.
     pub routes: Arc<dyn Routes>,
     /// Header names and formats.
--- a/crates/honeypulley_proxy/tests/race/support.rs
+++ b/crates/honeypulley_proxy/tests/race/support.rs
@@ -2,8 +2,8 @@
 
 use bytes::Bytes;
 use cadence::{NopMetricSink, StatsdClient};
-use honeypulley_policy::balance::{Balancer, Listed, Past, RetryRule};
-use honeypulley_policy::chooser::{Ask, Chooser};
+use honeypulley_policy::balance::{Balancer, RetryHistory, RetryRule, UpstreamEntry};
+use honeypulley_policy::chooser::{RequestInfo, RoutingPolicy};
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::quarantine::{Fingerprint, Fingerprints};
 use honeypulley_policy::router::ServiceKey;
@@ -44,7 +44,8 @@
 
 /// Creates a box with upstreams at these addresses.
 pub fn test_gate(addrs: &[String], clock: Clock) -> TestGate {
-    let mut balancer = Balancer::new("h", RetryRule::default(), 7).with_past(Past::Empty);
+    let mut balancer =
+        Balancer::new("h", RetryRule::default(), 7).with_retry_history(RetryHistory::Empty);
     balancer.set_services(&[ServiceSpec::builder().name("s").build()], Time::ZERO);
     for (i, addr) in addrs.iter().enumerate() {
         let member = Member {
@@ -54,11 +55,11 @@
             hall: "h".to_owned(),
             state: MemberState::Live,
         };
-        let listed = Listed { member, slots: 3, cold: Duration::ZERO, born: None };
+        let listed = UpstreamEntry { member, slots: 3, cold: Duration::ZERO, born: None };
         balancer.set_upstream(listed, Time::ZERO);
     }
     let service = balancer.service("s").expect("the service was added");
-    let chooser: Arc<Mutex<dyn Chooser>> = Arc::new(Mutex::new(balancer));
+    let chooser: Arc<Mutex<dyn RoutingPolicy>> = Arc::new(Mutex::new(balancer));
     let gate = Gate {
         chooser,
         routes: Arc::new(NoRoutes),
@@ -76,11 +77,11 @@
 
 /// Creates the request, which is not repeatable.
 pub fn race(test: &TestGate, left: Duration) -> Race {
-    let ask = Ask {
+    let ask = RequestInfo {
         service: test.service,
         repeatable: false,
         priority: 0,
-        bulky: false,
+        large_response: false,
         aim: Some(Duration::from_millis(200)),
         left: None,
         route: NameId::of("r"),
--- a/tools/trial/src/model.rs
+++ b/tools/trial/src/model.rs
@@ -4,13 +4,13 @@
 mod traffic;
 
 use crate::sizes::Size;
-use honeypulley_policy::balance::{Balancer, Listed, News, Reach, RetryRule};
+use honeypulley_policy::balance::{Balancer, FleetScope, RetryRule, Update, UpstreamEntry};
 use honeypulley_policy::collector::{Collector, Judgement, NameId, Report, Verdict};
 use honeypulley_policy::naive::Naive;
 use honeypulley_policy::permits::{FloorContext, PermitRecord, PermitView};
 use honeypulley_policy::placement::COLLECTORS;
 use honeypulley_policy::router::{AttemptKey, Outcome, Router, ServiceKey, UpstreamKey};
-use honeypulley_policy::spec::{Floor, Lean, Member, MemberState, Repeat, ServiceSpec};
+use honeypulley_policy::spec::{Floor, Lean, Member, MemberState, RepeatPolicy, ServiceSpec};
 use honeypulley_policy::time::Time;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
@@ -140,7 +140,7 @@
     Verdict { b: usize, v: Verdict },
     Permits { b: usize },
     Observe,
-    News { from: usize, to: usize, news: News },
+    Update { from: usize, to: usize, news: Update },
     Overdue { request: usize },
 }
 
@@ -209,9 +209,14 @@
     let rule = RetryRule { slack: 58.0, ..RetryRule::default() };
     let mut x = Balancer::new(&format!("h{}", b % s.size.halls), rule, seed);
     x.set_services(std::slice::from_ref(spec), Time::ZERO);
-    x.set_reach(Reach { boxes: s.size.boxes, in_touch: true });
+    x.set_fleet_scope(FleetScope { boxes: s.size.boxes, in_touch: true });
     for m in members {
-        let l = Listed { member: m.clone(), slots: s.size.slots, cold: Duration::ZERO, born: None };
+        let l = UpstreamEntry {
+            member: m.clone(),
+            slots: s.size.slots,
+            cold: Duration::ZERO,
+            born: None,
+        };
         x.set_upstream(l, Time::ZERO);
     }
     x
@@ -241,7 +246,7 @@
         let spec = ServiceSpec::builder()
             .name("s")
             .floor(Floor::Share(FLOOR))
-            .repeat(Repeat::Always)
+            .repeat(RepeatPolicy::Always)
             .deadline(s.size.deadline)
             .lean(lean)
             .connections(s.size.connections)
@@ -338,7 +343,7 @@
             }
             Event::Permits { b } => self.see_permits(b),
             Event::Observe => self.observe(),
-            Event::News { from, to, news } => {
+            Event::Update { from, to, news } => {
                 self.balancers[to].heard(NameId(from as u64 + 1), news, self.now);
             }
             Event::Overdue { request } => self.overdue(request),
