--- a/crates/honeypulley_daemon/src/collect.rs
+++ b/crates/honeypulley_daemon/src/collect.rs
@@ -9,7 +9,7 @@
 use honeypulley_policy::placement;
 use honeypulley_policy::revision::Revision;
 use honeypulley_policy::spec::MemberState;
-use honeypulley_supervisor::tree::{Duty, Stop, block_on};
+use honeypulley_supervisor::tree::{Duty, Shutdown, block_on};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -33,13 +33,13 @@
 
 /// Inputs of the last refresh.
 #[derive(Default)]
-struct Inputs {
+struct PickInputs {
     bundle: Version,
     permits: Revision,
     roster: Option<Arc<Roster>>,
 }
 
-impl Inputs {
+impl PickInputs {
     fn matches(&self, other: &Self) -> bool {
         let roster = match (&self.roster, &other.roster) {
             (Some(a), Some(b)) => Arc::ptr_eq(a, b),
@@ -61,11 +61,11 @@
         "collect"
     }
 
-    fn run(&self, stop: &Stop) -> Result<()> {
+    fn run(&self, shutdown: &Shutdown) -> Result<()> {
         block_on(async {
             tokio::select! {
                 () = self.collect() => {}
-                () = stop.halt.cancelled() => {}
+                () = shutdown.stop.cancelled() => {}
             }
             Ok(())
         })
@@ -77,10 +77,10 @@
         let mut services: BTreeMap<NameId, Collected> = BTreeMap::new();
         let mut tick = tokio::time::interval(TICK_INTERVAL);
         let mut ticks = 0u32;
-        let mut last_inputs = Inputs::default();
+        let mut last_inputs = PickInputs::default();
         loop {
             tokio::select! {
-                report = self.ctx.reports_in.next() => {
+                report = self.ctx.reports_in.recv() => {
                     if let Some(state) = services.get_mut(&report.service) {
                         let verdicts = state.collector.report(&report, self.ctx.now());
                         verdicts.iter().for_each(|v| self.publish(state, v));
@@ -88,7 +88,7 @@
                 }
                 _ = tick.tick() => {
                     if ticks.is_multiple_of(FORCED_REFRESH_TICKS) {
-                        last_inputs = Inputs::default();
+                        last_inputs = PickInputs::default();
                     }
                     if ticks.is_multiple_of(REFRESH_TICKS) {
                         self.refresh(&mut services, &mut last_inputs);
@@ -127,10 +127,10 @@
     ///
     /// The placement ranks all boxes for every service, so it is computed only when
     /// one of these inputs has changed.
-    fn refresh(&self, services: &mut BTreeMap<NameId, Collected>, last_inputs: &mut Inputs) {
+    fn refresh(&self, services: &mut BTreeMap<NameId, Collected>, last_inputs: &mut PickInputs) {
         let (Some(roster), Some(f)) = (self.ctx.roster(), self.ctx.bundle()) else { return };
         let permits = self.ctx.permits();
-        let now = Inputs {
+        let now = PickInputs {
             bundle: f.head.version,
             permits: permits.version,
             roster: Some(Arc::clone(&roster)),
--- a/crates/honeypulley_mesh/src/admin.rs
+++ b/crates/honeypulley_mesh/src/admin.rs
@@ -14,7 +14,7 @@
         if self.in_force.load().is_none() {
             return Err("no routing table is in force yet".to_owned());
         }
-        if !self.listed.load(Ordering::Relaxed) {
+        if !self.list_known.load(Ordering::Relaxed) {
             return Err("the list of upstreams is not known yet".to_owned());
         }
         Ok(())
@@ -33,8 +33,8 @@
             "reader": beacon.reader,
             "read_age_ms": beacon.read_age.as_millis() as u64,
             "in_touch": self.readers().in_touch(self.now()),
-            "boxes": self.book().count(),
-            "held": self.held_requests().len(),
+            "boxes": self.address_book().count(),
+            "held": self.quarantined_requests().len(),
             "not_ready": self.readiness().err(),
         });
         status.to_string().into_bytes()
@@ -42,9 +42,9 @@
 
     fn metrics(&self) -> String {
         let beacon = self.beacon();
-        let boxes = self.book().count();
+        let boxes = self.address_book().count();
         let upstreams = self.upstreams();
-        let (suspected, held) = (self.suspected_requests(), self.held_requests().len());
+        let (suspected, held) = (self.suspected_requests(), self.quarantined_requests().len());
         format!(
             "{}honeypulley_boxes {boxes}\nhoneypulley_upstreams {upstreams}\n\
              honeypulley_table_version {}\nhoneypulley_list_version {}\n\
@@ -60,11 +60,11 @@
             beacon.epoch,
             self.restores(),
             beacon.list_age.as_millis(),
-            u8::from(self.catch_up().misses(beacon.list)),
+            u8::from(self.catch_up().is_behind(beacon.list)),
             u8::from(beacon.reader),
             beacon.read_age.as_millis(),
-            self.news_in.dropped() + self.news_out.dropped(),
-            self.foreign_entries(),
+            self.updates_in.dropped() + self.updates_out.dropped(),
+            self.invalid_entries(),
         )
     }
 
--- a/crates/honeypulley_mesh/src/decoder.rs
+++ b/crates/honeypulley_mesh/src/decoder.rs
@@ -1,7 +1,7 @@
 //! Decoding of the platform's objects into this project's types.
 
 use honeypulley_platform::api::Object;
-use honeypulley_policy::balance::Listed;
+use honeypulley_policy::balance::UpstreamEntry;
 use honeypulley_policy::revision::Revision;
 use honeypulley_policy::routes::RouteTable;
 use std::fmt::Debug;
@@ -10,15 +10,15 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoreKeys {
     /// Key of the routing table.
-    pub table: String,
+    pub table_key: String,
     /// Watched prefix under which the routing table is stored.
-    pub tables: String,
+    pub table_prefix: String,
     /// Prefix of the upstreams' entries.
-    pub upstreams: String,
+    pub upstream_prefix: String,
     /// Prefix of the records of the fleet's boxes.
-    pub boxes: String,
+    pub box_prefix: String,
     /// Key of the record of held requests.
-    pub held: String,
+    pub held_key: String,
 }
 
 /// Error returned when an object of the platform can't be decoded.
@@ -46,5 +46,5 @@
     ///
     /// # Errors
     /// Returns an error if the object is malformed.
-    fn upstream(&self, o: &Object) -> Result<Listed, DecodeError>;
+    fn upstream(&self, o: &Object) -> Result<UpstreamEntry, DecodeError>;
 }
--- a/crates/honeypulley_mesh/src/held.rs
+++ b/crates/honeypulley_mesh/src/held.rs
@@ -8,7 +8,7 @@
 use crate::store::{MIN_BACKOFF, StoreDuty, back_off};
 use bytes::Bytes;
 use honeypulley_platform::api::{Expect, PlatformError};
-use honeypulley_policy::quarantine::{Fingerprint, Hold, RequestNews, Scope};
+use honeypulley_policy::quarantine::{Fingerprint, Hold, RequestUpdate, Scope};
 use honeypulley_policy::revision::Revision;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
@@ -82,7 +82,7 @@
 
     /// Reads the stored holds and applies them.
     async fn read_held(&self) -> Result<StoredHolds, PlatformError> {
-        let key = &self.mesh.decoder.keys().held;
+        let key = &self.mesh.decoder.keys().held_key;
         let Some(object) = self.platform.get(key).await? else {
             let epoch = self.mesh.epoch();
             return Ok(StoredHolds { epoch, version: None, held: BTreeSet::new() });
@@ -92,7 +92,8 @@
             HeldRecord::default()
         });
         let unix_now = unix_time();
-        self.mesh.hear_requests(record.held.iter().map(|h| h.request_news(unix_now)).collect());
+        self.mesh
+            .apply_request_updates(record.held.iter().map(|h| h.request_news(unix_now)).collect());
         let held = record.held.iter().map(|h| (h.request, h.trials)).collect();
         let epoch = object.version.epoch;
         Ok(StoredHolds { epoch, version: Some(object.version), held })
@@ -101,7 +102,7 @@
     /// Writes the holds if they have changed and this reader's rank is zero.
     async fn write_held(&self, stored: StoredHolds) -> Result<StoredHolds, PlatformError> {
         let now = self.mesh.now();
-        let holds = self.mesh.held_requests();
+        let holds = self.mesh.quarantined_requests();
         let held: BTreeSet<(u64, u8)> = holds.iter().map(|h| (h.request.0, h.trials)).collect();
         if held == stored.held || self.mesh.readers().rank(now) > 0 {
             return Ok(stored);
@@ -113,7 +114,7 @@
             serde_json::to_vec(&record).expect("a record of plain data is serializable"),
         );
         let expect = stored.version.map_or(Expect::Absent, Expect::Version);
-        let key = &self.mesh.decoder.keys().held;
+        let key = &self.mesh.decoder.keys().held_key;
         let version = self.platform.put(key, value, expect).await?;
         log::info!(version:display = version, held = held.len(); "quarantine: stored {} holds", held.len());
         Ok(StoredHolds { version: Some(version), held, ..stored })
@@ -132,8 +133,8 @@
     }
 
     /// Converts a stored hold to news of it.
-    fn request_news(&self, unix_now: Duration) -> RequestNews {
-        RequestNews::Held {
+    fn request_news(&self, unix_now: Duration) -> RequestUpdate {
+        RequestUpdate::Held {
             request: Fingerprint(self.request),
             scope: if self.content { Scope::Content } else { Scope::Caller },
             left: Duration::from_millis(self.until_ms).saturating_sub(unix_now),
--- a/crates/honeypulley_mesh/src/lib.rs
+++ b/crates/honeypulley_mesh/src/lib.rs
@@ -32,9 +32,9 @@
 pub mod prelude {
     pub use crate::{
         decoder::{Decoder, StoreKeys},
-        epoch::EpochWatch,
+        epoch::EpochTracker,
         peers::PeerDuty,
-        serving::{Announcer, Pump, TableRoutes},
+        serving::{BalancerUpdater, BroadcastBalancer, TableRoutes},
         state::{Mesh, MeshSettings},
         store::StoreDuty,
     };
--- a/crates/honeypulley_mesh/src/lists.rs
+++ b/crates/honeypulley_mesh/src/lists.rs
@@ -8,11 +8,11 @@
 use crate::list::{ListChange, UpstreamList};
 use crate::state::Mesh;
 use crate::told::Reassembler;
-use honeypulley_peer::codec::{Beacon, Told};
+use honeypulley_peer::codec::{Beacon, ListUpdate};
 use honeypulley_peer::listing::{Entry, EntryState};
 use honeypulley_peer::server::Held;
 use honeypulley_platform::api::Changes;
-use honeypulley_policy::chooser::ListNow;
+use honeypulley_policy::chooser::ListStatus;
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::revision::Revision;
 use std::collections::BTreeMap;
@@ -80,11 +80,11 @@
 impl Mesh {
     /// Returns the version and the age of this box's list.
     #[must_use]
-    pub fn list_now(&self) -> ListNow {
+    pub fn list_status(&self) -> ListStatus {
         let now = self.now();
         let lists = self.lists.lock();
         let age = lists.list.as_of().map(|at| now.since(at));
-        ListNow { version: lists.list.version(), age }
+        ListStatus { version: lists.list.version(), age }
     }
 
     /// Records that this box has received all changes of the platform up to now.
@@ -96,13 +96,13 @@
 
     /// Returns the pending list changes for the serving thread, and clears them.
     #[must_use]
-    pub fn next_list(&self) -> Vec<ListChange> {
+    pub fn take_list_changes(&self) -> Vec<ListChange> {
         std::mem::take(&mut self.lists.lock().pending).into_values().collect()
     }
 
     /// Applies changes from this box's own watch, which leaves no gap before them.
-    pub fn take_changes(&self, c: &Changes, from: &str) {
-        let hold = self.readers().hold(self.now());
+    pub fn apply_watched_changes(&self, c: &Changes, from: &str) {
+        let hold = self.readers().departure_hold(self.now());
         let entries = self.decode_entries(c, hold);
         let Some(upto) = entries.iter().map(|e| e.version).max() else { return };
         let mut lists = self.lists.lock();
@@ -111,16 +111,16 @@
         lists.enqueue(changes, from);
         lists.broadcasts.push(PendingBroadcast { since, upto, entries });
         drop(lists);
-        self.serving.notify_one();
-        self.telling.notify_one();
+        self.serve_wakeup.notify_one();
+        self.broadcast_wakeup.notify_one();
     }
 
     /// Applies list changes, or one fragment of them, received from a peer.
-    pub fn hear_changes(&self, sender: NameId, t: Told, from: SocketAddr) {
+    pub fn apply_peer_changes(&self, sender: NameId, t: ListUpdate, from: SocketAddr) {
         let now = self.now();
         let upto = t.upto;
-        self.learn_epoch(upto.epoch, "a peer");
-        let hold = self.readers().hold(now);
+        self.observe_epoch(upto.epoch, "a peer");
+        let hold = self.readers().departure_hold(now);
         let mut lists = self.lists.lock();
         let is_complete = lists.reassembler.add(sender, &t);
         let changes = lists.list.apply_entries(cap_holds(t.entries, hold), now);
@@ -133,9 +133,9 @@
         lists.enqueue(changes, &from.to_string());
         drop(lists);
         if has_changed {
-            self.serving.notify_one();
+            self.serve_wakeup.notify_one();
         }
-        self.heard_of_list(upto, sender, from);
+        self.record_list_version(upto, sender, from);
     }
 
     /// Resets a list from a stale read if the platform was recently restored.
@@ -146,19 +146,19 @@
     }
 
     /// Records that a peer has or knows of a version of the list.
-    pub(crate) fn heard_of_list(&self, version: Revision, origin: NameId, via: SocketAddr) {
+    pub(crate) fn record_list_version(&self, version: Revision, origin: NameId, via: SocketAddr) {
         let held = self.lists.lock().list.version();
         if self.catch_up().record_announcement(version, held, origin, via, self.now()) {
             log::info!(peer:display = via, version:display, held:display; "list: version {version} is missed");
-            self.asking.notify_one();
+            self.query_wakeup.notify_one();
         }
     }
 
     /// Applies a full list read from the platform.
     ///
     /// A reader broadcasts the resulting changes, as it does those from its watch.
-    pub fn take_list(&self, c: &Changes, from: &str) {
-        let hold = self.readers().hold(self.now());
+    pub fn apply_full_list(&self, c: &Changes, from: &str) {
+        let hold = self.readers().departure_hold(self.now());
         let entries = self.decode_entries(c, hold);
         let before = {
             let list = &mut self.lists.lock().list;
@@ -187,8 +187,8 @@
     /// Applies a full list from a stale read, which may be some seconds old.
     ///
     /// It is complete up to its version; the readers broadcast newer changes.
-    pub fn take_old_list(&self, c: &Changes, from: &str) {
-        let hold = self.readers().hold(self.now());
+    pub fn apply_stale_list(&self, c: &Changes, from: &str) {
+        let hold = self.readers().departure_hold(self.now());
         let entries = self.decode_entries(c, hold);
         self.replace(c.version, entries, from);
         self.lists.lock().list.mark_stale();
@@ -196,24 +196,24 @@
 
     /// Replaces the list by the full list of `version`.
     pub fn replace(&self, version: Revision, entries: Vec<Entry>, from: &str) {
-        self.learn_epoch(version.epoch, from);
-        let hold = self.readers().hold(self.now());
+        self.observe_epoch(version.epoch, from);
+        let hold = self.readers().departure_hold(self.now());
         let n = entries.len();
         let mut lists = self.lists.lock();
         let changes = lists.list.replace(version, cap_holds(entries, hold), hold, self.now());
         log::info!(from, version:display, entries = n, hold_ms = hold.as_millis() as u64; "list: taken whole");
         lists.enqueue(changes, from);
         drop(lists);
-        if !self.listed.swap(true, Ordering::AcqRel) {
-            self.greeting.notify_one();
+        if !self.list_known.swap(true, Ordering::AcqRel) {
+            self.hello_wakeup.notify_one();
         }
-        self.serving.notify_one();
-        self.telling.notify_one();
+        self.serve_wakeup.notify_one();
+        self.broadcast_wakeup.notify_one();
     }
 
     /// Decodes the platform's changes into entries.
     fn decode_entries(&self, c: &Changes, hold: Duration) -> Vec<Entry> {
-        let prefix = &self.decoder.keys().upstreams;
+        let prefix = &self.decoder.keys().upstream_prefix;
         let name = |key: &str| key.strip_prefix(prefix.as_str()).unwrap_or(key).to_owned();
         // An object of another writer may not describe an upstream. It is broadcast as a
         // removed entry, so that every box is complete up to the object's version.
@@ -221,7 +221,7 @@
             let state = match self.decoder.upstream(o) {
                 Ok(l) => EntryState::Present(l),
                 Err(e) => {
-                    self.foreign.fetch_add(1, Ordering::Relaxed);
+                    self.invalid_entries.fetch_add(1, Ordering::Relaxed);
                     log::warn!("list: the entry describes no upstream: {e}");
                     EntryState::Gone { hold: Duration::ZERO }
                 }
@@ -238,8 +238,8 @@
 
     /// Returns how many entries read by this box did not describe an upstream.
     #[must_use]
-    pub fn foreign_entries(&self) -> u64 {
-        self.foreign.load(Ordering::Relaxed)
+    pub fn invalid_entries(&self) -> u64 {
+        self.invalid_entries.load(Ordering::Relaxed)
     }
 
     /// Applies the changes of entries whose hold has expired.
@@ -251,7 +251,7 @@
         }
         lists.enqueue(changes, "its hold ran out");
         drop(lists);
-        self.serving.notify_one();
+        self.serve_wakeup.notify_one();
     }
 
     /// Returns the changes that are yet to be broadcast, and clears them.
@@ -270,24 +270,24 @@
     ///
     /// Returns `None` if this box may not have all of them, or if they are too many.
     #[must_use]
-    pub fn changes_after(&self, since: Revision) -> Option<Vec<Told>> {
+    pub fn changes_after(&self, since: Revision) -> Option<Vec<ListUpdate>> {
         let now = self.now();
         let lists = self.lists.lock();
         let entries = lists.list.changes_after(since, now)?;
         let age = lists.list.as_of().map_or(Duration::MAX, |at| now.since(at));
-        Told::cut(lists.list.diff_base(since), lists.list.version(), age, &entries)
+        ListUpdate::cut(lists.list.diff_base(since), lists.list.version(), age, &entries)
     }
 
     /// Returns the full list, for a peer that pulls it.
     #[must_use]
-    pub fn held_list(&self) -> Held<Vec<Entry>> {
+    pub fn list_snapshot(&self) -> Held<Vec<Entry>> {
         let lists = self.lists.lock();
         Held { version: lists.list.version(), value: lists.list.entries(self.now()) }
     }
 
     /// Returns whether a full list has been applied.
     #[must_use]
-    pub fn knows_list(&self) -> bool {
+    pub fn has_list(&self) -> bool {
         self.lists.lock().list.is_loaded()
     }
 
--- a/crates/honeypulley_mesh/src/peers.rs
+++ b/crates/honeypulley_mesh/src/peers.rs
@@ -15,7 +15,7 @@
 use honeypulley_peer::server::{self, Held, PeerView};
 use honeypulley_peer::socket::receive;
 use honeypulley_platform::api::Platform;
-use honeypulley_supervisor::tree::{Duty, Stop, block_on};
+use honeypulley_supervisor::tree::{Duty, Shutdown, block_on};
 use outbox::{Outbox, OutgoingDatagram, Priority};
 use std::cell::{Cell, RefCell};
 use std::net::{SocketAddr, TcpListener, UdpSocket};
@@ -61,7 +61,7 @@
         "peer"
     }
 
-    fn run(&self, stop: &Stop) -> Result<()> {
+    fn run(&self, shutdown: &Shutdown) -> Result<()> {
         block_on(async {
             let socket = tokio::net::UdpSocket::from_std(self.socket.try_clone()?)?;
             let listener = tokio::net::TcpListener::from_std(self.listener.try_clone()?)?;
@@ -91,7 +91,7 @@
                 () = node.introduce_self() => Ok(()),
                 () = node.announce_newcomers() => Ok(()),
                 () = node.send_beliefs() => Ok(()),
-                () = stop.halt.cancelled() => Ok(()),
+                () = shutdown.stop.cancelled() => Ok(()),
             }
         })
     }
@@ -114,7 +114,7 @@
             return;
         }
         let is_hall_known = {
-            let mut book = self.mesh.book();
+            let mut book = self.mesh.address_book();
             book.record_contact(d.sender, self.mesh.now());
             book.knows(d.sender)
         };
@@ -126,26 +126,26 @@
             // datagram may have been forwarded by a box of this data hall.
             Body::Hello { hall, wants_book, wants_beliefs } => {
                 let sender = BoxAddress { id: d.sender, addr: from, hall };
-                let is_new = self.mesh.learn(sender.clone());
+                let is_new = self.mesh.add_address(sender.clone());
                 self.handle_hello(sender, is_new, wants_book);
                 if wants_beliefs {
-                    self.mesh.asked.push(from);
+                    self.mesh.belief_requests.push(from);
                 }
             }
             Body::Book(boxes) => self.handle_book(boxes),
-            Body::Beacon(b) => self.mesh.take_beacon(d.sender, from, b),
+            Body::Beacon(b) => self.mesh.apply_beacon(d.sender, from, b),
             Body::News { seq, items } => {
                 if self.seen.borrow_mut().is_new(d.sender, seq) {
-                    items.into_iter().for_each(|n| self.mesh.news_in.push((d.sender, n)));
+                    items.into_iter().for_each(|n| self.mesh.updates_in.push((d.sender, n)));
                 }
             }
             Body::Requests { seq, items } => {
                 if self.seen.borrow_mut().is_new(d.sender, seq) {
-                    self.mesh.hear_requests(items);
+                    self.mesh.apply_request_updates(items);
                 }
             }
             Body::Forward(sealed) => self.handle_forward(sealed, from),
-            Body::Changes(t) => self.mesh.hear_changes(d.sender, t, from),
+            Body::Changes(t) => self.mesh.apply_peer_changes(d.sender, t, from),
             Body::Want { after } => self.answer_request(after, from),
             // Used only by fleets with collectors and bundles.
             Body::Ask { .. }
@@ -168,7 +168,7 @@
             log::warn!(peer:display = from; "peer: a datagram forwarded by {from} is not ours");
             return;
         };
-        let to: Vec<SocketAddr> = self.mesh.book().hall_addresses().collect();
+        let to: Vec<SocketAddr> = self.mesh.address_book().hall_addresses().collect();
         self.outbox.enqueue(OutgoingDatagram::new(to, sealed, Priority::of(&inner.body)));
         self.handle(inner, from);
     }
@@ -186,14 +186,14 @@
 
 impl PeerView for View {
     fn table_reached(&self, number: u64) -> LocalBoxFuture<'_, ()> {
-        Box::pin(self.0.table_reached(number))
+        Box::pin(self.0.wait_for_table(number))
     }
 
     fn table(&self) -> Held<Bytes> {
-        self.0.held_table()
+        self.0.table_snapshot()
     }
 
     fn upstreams(&self) -> Held<Vec<Entry>> {
-        self.0.held_list()
+        self.0.list_snapshot()
     }
 }
--- a/crates/honeypulley_mesh/src/peers/greet.rs
+++ b/crates/honeypulley_mesh/src/peers/greet.rs
@@ -35,14 +35,14 @@
     /// Introduces this box to peers that may not know it, and requests their beliefs.
     pub(super) async fn introduce_self(&self) {
         if !self.mesh.settings.first_start {
-            let _ = tokio::time::timeout(LISTING_WAIT, self.mesh.greeting.notified()).await;
+            let _ = tokio::time::timeout(LISTING_WAIT, self.mesh.hello_wakeup.notified()).await;
         }
         let mut has_requested = self.mesh.settings.first_start;
         loop {
             self.queries_sent.set(0);
-            if self.mesh.book().count() == 1 {
+            if self.mesh.address_book().count() == 1 {
                 self.announce_self(self.mesh.seeds());
-            } else if self.mesh.unknown.swap(false, Ordering::Relaxed) {
+            } else if self.mesh.unannounced.swap(false, Ordering::Relaxed) {
                 let mut to = self.mesh.seeds();
                 // In a first start, the seeds suffice: they hear from every box, and few
                 // other boxes are known yet.
@@ -52,12 +52,13 @@
                 self.announce_self(to);
             }
             // Beliefs about upstreams that are not in the list yet would be dropped.
-            let ready = self.mesh.listed.load(Ordering::Relaxed) && self.mesh.table_number() > 0;
-            if !has_requested && ready && self.mesh.book().count() > 1 {
+            let ready =
+                self.mesh.list_known.load(Ordering::Relaxed) && self.mesh.table_version() > 0;
+            if !has_requested && ready && self.mesh.address_book().count() > 1 {
                 has_requested = true;
                 self.request_beliefs();
             }
-            let _ = tokio::time::timeout(HELLO_INTERVAL, self.mesh.greeting.notified()).await;
+            let _ = tokio::time::timeout(HELLO_INTERVAL, self.mesh.hello_wakeup.notified()).await;
         }
     }
 
@@ -78,7 +79,7 @@
 
     /// Returns a few random peers, from this data hall if it has any.
     fn random_peers(&self) -> Vec<SocketAddr> {
-        let book = self.mesh.book();
+        let book = self.mesh.address_book();
         let mut peers: Vec<SocketAddr> = book.hall_addresses().collect();
         if peers.is_empty() {
             peers = book.addresses().collect();
@@ -102,7 +103,7 @@
     pub(super) fn handle_book(&self, boxes: Vec<BoxAddress>) {
         self.newcomers.borrow_mut().retain(|n| boxes.iter().all(|b| b.id != n.id));
         boxes.into_iter().for_each(|b| {
-            self.mesh.learn(b);
+            self.mesh.add_address(b);
         });
     }
 
@@ -136,7 +137,7 @@
     /// Sends this box's beliefs about upstreams to the boxes that requested them.
     pub(super) async fn send_beliefs(&self) {
         loop {
-            let (to, beliefs) = self.mesh.beliefs.next().await;
+            let (to, beliefs) = self.mesh.belief_replies.recv().await;
             for part in beliefs.chunks(MAX_ITEMS) {
                 let body = self.number_news(part.to_vec());
                 self.send_to(&[to], body);
@@ -154,7 +155,7 @@
         let s = &self.mesh.settings;
         let mut boxes = vec![BoxAddress { id: self.mesh.id, addr: s.peer, hall: s.hall.clone() }];
         if wants_book {
-            boxes.extend(self.mesh.book().entries().cloned());
+            boxes.extend(self.mesh.address_book().entries().cloned());
         }
         for part in boxes.chunks(MAX_BOXES) {
             self.send_to(&[to], Body::Book(part.to_vec()));
--- a/crates/honeypulley_mesh/src/peers/tell.rs
+++ b/crates/honeypulley_mesh/src/peers/tell.rs
@@ -2,13 +2,13 @@
 
 use super::Node;
 use super::outbox::{OutgoingDatagram, Priority};
-use crate::pace::Pacer;
+use crate::pace::UpdateBatcher;
 use crate::readers::BEACON_INTERVAL;
 use bytes::Bytes;
-use honeypulley_peer::codec::{Body, Datagram, MAX_ITEMS, Told};
+use honeypulley_peer::codec::{Body, Datagram, ListUpdate, MAX_ITEMS};
 use honeypulley_peer::requests::MAX_REQUESTS;
-use honeypulley_policy::balance::News;
-use honeypulley_policy::quarantine::{Hold, RequestNews};
+use honeypulley_policy::balance::Update;
+use honeypulley_policy::quarantine::{Hold, RequestUpdate};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -49,7 +49,8 @@
             // A new table or epoch, or a change of this box's role or ability to read, triggers
             // a beacon at once; other wake-ups do not.
             loop {
-                let woken = tokio::time::timeout_at(deadline, self.mesh.telling.notified()).await;
+                let woken =
+                    tokio::time::timeout_at(deadline, self.mesh.broadcast_wakeup.notified()).await;
                 let b = self.mesh.beacon();
                 let is_able = b.read_age < MAX_READ_AGE;
                 let is_changed = b.table > table || b.epoch > epoch || is_able != was_able;
@@ -83,8 +84,8 @@
                 continue;
             }
             has_sent = true;
-            let age = self.mesh.list_now().age.unwrap_or(Duration::MAX);
-            match Told::cut(change.since, change.upto, age, &change.entries) {
+            let age = self.mesh.list_status().age.unwrap_or(Duration::MAX);
+            match ListUpdate::cut(change.since, change.upto, age, &change.entries) {
                 Some(parts) => {
                     parts
                         .into_iter()
@@ -102,26 +103,26 @@
 
     /// Broadcasts this box's observations of upstreams.
     pub(super) async fn broadcast_news(&self) {
-        let news = &self.mesh.news_out;
-        let mut pacer = Pacer::default();
+        let news = &self.mesh.updates_out;
+        let mut batcher = UpdateBatcher::default();
         loop {
-            let mut batch: Vec<News> = self.next_news(&pacer).await.into_iter().collect();
+            let mut batch: Vec<Update> = self.next_news(&batcher).await.into_iter().collect();
             while batch.len() < MAX_ITEMS
                 && let Some(n) = news.pop()
             {
                 batch.push(n);
             }
             let now = self.mesh.now();
-            let (local, global): (Vec<News>, Vec<News>) =
-                batch.into_iter().partition(News::is_for_hall);
+            let (local, global): (Vec<Update>, Vec<Update>) =
+                batch.into_iter().partition(Update::is_for_hall);
             if !global.is_empty() {
                 let body = self.number_news(global);
                 self.broadcast(body, UPSTREAM_FORWARDERS);
             }
-            local.into_iter().for_each(|n| pacer.add(n, now));
-            let to: Vec<SocketAddr> = self.mesh.book().hall_addresses().collect();
-            if pacer.due(to.len()).is_some_and(|at| at <= now) {
-                let body = self.number_news(pacer.take(now));
+            local.into_iter().for_each(|n| batcher.add(n, now));
+            let to: Vec<SocketAddr> = self.mesh.address_book().hall_addresses().collect();
+            if batcher.deadline(to.len()).is_some_and(|at| at <= now) {
+                let body = self.number_news(batcher.drain(now));
                 self.send_to(&to, body);
             }
         }
@@ -131,7 +132,7 @@
     pub(super) async fn broadcast_new_requests(&self) {
         let news = &self.mesh.requests_out;
         loop {
-            let mut items = vec![news.next().await];
+            let mut items = vec![news.recv().await];
             items.extend(std::iter::from_fn(|| news.pop()).take(MAX_REQUESTS - 1));
             self.broadcast_requests(items);
         }
@@ -145,7 +146,7 @@
         if self.mesh.readers().rank(now) > 0 {
             return;
         }
-        let held = self.mesh.held_requests();
+        let held = self.mesh.quarantined_requests();
         if held.is_empty() {
             return;
         }
@@ -155,15 +156,15 @@
         self.broadcast_requests(selected.map(Hold::news).collect());
     }
 
-    fn broadcast_requests(&self, items: Vec<RequestNews>) {
+    fn broadcast_requests(&self, items: Vec<RequestUpdate>) {
         let seq = self.sequence.borrow_mut().next();
         self.broadcast(Body::Requests { seq, items }, LIST_FORWARDERS);
     }
 
     /// Awaits an observation; returns `None` when paced observations are due first.
-    async fn next_news(&self, pacer: &Pacer) -> Option<News> {
-        let next = self.mesh.news_out.next();
-        let Some(due) = pacer.due(self.mesh.book().hall_addresses().count()) else {
+    async fn next_news(&self, batcher: &UpdateBatcher) -> Option<Update> {
+        let next = self.mesh.updates_out.recv();
+        let Some(due) = batcher.deadline(self.mesh.address_book().hall_addresses().count()) else {
             return Some(next.await);
         };
         let left = due.since(self.mesh.now());
@@ -171,7 +172,7 @@
     }
 
     /// Wraps observations into a body with the next sequence number.
-    pub(super) fn number_news(&self, items: Vec<News>) -> Body {
+    pub(super) fn number_news(&self, items: Vec<Update>) -> Body {
         Body::News { seq: self.sequence.borrow_mut().next(), items }
     }
 
@@ -184,7 +185,7 @@
         let priority = Priority::of(&body);
         let bytes = self.seal(body);
         let (near, far) = {
-            let book = self.mesh.book();
+            let book = self.mesh.address_book();
             let near: Vec<SocketAddr> = book.hall_addresses().collect();
             let mut rng = fastrand::Rng::new();
             (near, book.forwarders(forwarders, self.mesh.now(), &mut rng))
--- a/crates/honeypulley_mesh/src/serving.rs
+++ b/crates/honeypulley_mesh/src/serving.rs
@@ -1,14 +1,14 @@
 //! Routing and balancing on the serving thread, and the news that they produce.
 
-use crate::doubts::DoubtLog;
+use crate::doubts::SuspicionLog;
 use crate::list::ListChange;
 use crate::state::Mesh;
 use async_trait::async_trait;
 use futures::future::BoxFuture;
-use honeypulley_policy::balance::{Balancer, BudgetUse, News, Resend};
-use honeypulley_policy::chooser::{Ask, Chooser, Inputs, Place};
+use honeypulley_policy::balance::{Balancer, BudgetUsage, RetryReason, Update};
+use honeypulley_policy::chooser::{Endpoint, PickInputs, RequestInfo, RoutingPolicy};
 use honeypulley_policy::collector::NameId;
-use honeypulley_policy::fleet_limits::{FleetLimits, LimitUse};
+use honeypulley_policy::fleet_limits::{FleetRateLimiter, LimitUsage};
 use honeypulley_policy::organisations::{Organisation, Organisations};
 use honeypulley_policy::router::{AttemptKey, Outcome, Pick, Refusal, ServiceKey, UpstreamKey};
 use honeypulley_policy::routes::{RequestKind, Route, RouteTable};
@@ -28,16 +28,16 @@
 
 /// A balancer and the organisations' limits, whose news is queued for broadcast at once.
 #[derive(Debug)]
-pub struct Announcer {
+pub struct BroadcastBalancer {
     balancer: Balancer,
-    limits: FleetLimits,
+    limits: FleetRateLimiter,
     mesh: Arc<Mesh>,
 }
 
-impl Announcer {
+impl BroadcastBalancer {
     /// Wraps a balancer and limits, whose news is sent to the other boxes of `mesh`.
     #[must_use]
-    pub const fn new(balancer: Balancer, limits: FleetLimits, mesh: Arc<Mesh>) -> Self {
+    pub const fn new(balancer: Balancer, limits: FleetRateLimiter, mesh: Arc<Mesh>) -> Self {
         Self { balancer, limits, mesh }
     }
 
@@ -47,15 +47,15 @@
     }
 
     /// Returns the organisations' limits, to be updated with what other duties received.
-    pub const fn limits(&mut self) -> &mut FleetLimits {
+    pub const fn limits(&mut self) -> &mut FleetRateLimiter {
         &mut self.limits
     }
 
     /// Queues pending news for broadcast.
     fn announce(&mut self) {
         // Admissions come first, so that one is sent with the attempt that follows it.
-        let news = self.limits.take_news().into_iter().chain(self.balancer.take_news());
-        news.for_each(|n| self.mesh.news_out.push(n));
+        let news = self.limits.take_updates().into_iter().chain(self.balancer.take_updates());
+        news.for_each(|n| self.mesh.updates_out.push(n));
     }
 
     /// Admits one request of an organisation, if its fleet-wide limit allows it.
@@ -75,13 +75,13 @@
     }
 
     /// Applies admissions that a peer or another data hall reported.
-    fn apply_limit_news(&mut self, from: NameId, news: News, now: Time) {
+    fn apply_limit_news(&mut self, from: NameId, news: Update, now: Time) {
         match news {
-            News::Admitted { subject, sum } => {
-                self.limits.heard_box(from, subject, sum, now);
+            Update::Admitted { subject, sum } => {
+                self.limits.apply_box_count(from, subject, sum, now);
             }
-            News::HallAdmitted { subject, count } => {
-                self.limits.heard_hall(from, subject, count, now);
+            Update::HallAdmitted { subject, count } => {
+                self.limits.apply_hall_count(from, subject, count, now);
             }
             _ => {}
         }
@@ -97,14 +97,19 @@
     }
 }
 
-impl Chooser for Announcer {
-    fn pick(&mut self, ask: &Ask, tried: &[UpstreamKey], now: Time) -> Result<Pick, Refusal> {
+impl RoutingPolicy for BroadcastBalancer {
+    fn pick(
+        &mut self,
+        ask: &RequestInfo,
+        tried: &[UpstreamKey],
+        now: Time,
+    ) -> Result<Pick, Refusal> {
         let picked = self.balancer.pick(ask, tried, now);
         self.announce();
         picked
     }
 
-    fn place(&self, k: UpstreamKey) -> Option<Place<'_>> {
+    fn place(&self, k: UpstreamKey) -> Option<Endpoint<'_>> {
         self.balancer.place(k)
     }
 
@@ -112,42 +117,47 @@
         self.balancer.has_restarted(k)
     }
 
-    fn inputs(&self, k: UpstreamKey, now: Time) -> Inputs {
-        Inputs { list: self.mesh.list_now(), ..self.balancer.inputs(k, now) }
+    fn inputs(&self, k: UpstreamKey, now: Time) -> PickInputs {
+        PickInputs { list: self.mesh.list_status(), ..self.balancer.inputs(k, now) }
     }
 
-    fn expected(&self, ask: &Ask, now: Time) -> Option<Duration> {
+    fn expected(&self, ask: &RequestInfo, now: Time) -> Option<Duration> {
         self.balancer.expected(ask, now)
     }
 
-    fn look_after(&self, ask: &Ask, age: Duration) -> Duration {
-        self.balancer.look_after(ask, age)
+    fn recheck_delay(&self, ask: &RequestInfo, age: Duration) -> Duration {
+        self.balancer.recheck_delay(ask, age)
     }
 
-    fn still_open(&mut self, k: AttemptKey, now: Time) {
-        self.balancer.still_open(k, now);
+    fn is_in_flight(&mut self, k: AttemptKey, now: Time) {
+        self.balancer.is_in_flight(k, now);
         self.announce();
     }
 
-    fn hedge(&self, ask: &Ask, k: AttemptKey, now: Time) -> Option<f64> {
+    fn hedge(&self, ask: &RequestInfo, k: AttemptKey, now: Time) -> Option<f64> {
         self.balancer.hedge(ask, k, now)
     }
 
-    fn is_in_time(&self, ask: &Ask) -> bool {
-        self.balancer.is_in_time(ask)
+    fn can_meet_deadline(&self, ask: &RequestInfo) -> bool {
+        self.balancer.can_meet_deadline(ask)
     }
 
-    fn may_send(&mut self, ask: &Ask, tried: &[UpstreamKey], now: Time) -> Result<(), Refusal> {
-        self.balancer.may_send(ask, tried, now)
+    fn check_available(
+        &mut self,
+        ask: &RequestInfo,
+        tried: &[UpstreamKey],
+        now: Time,
+    ) -> Result<(), Refusal> {
+        self.balancer.check_available(ask, tried, now)
     }
 
-    fn spend_retry(&mut self, k: ServiceKey, why: Resend, now: Time) -> bool {
+    fn spend_retry(&mut self, k: ServiceKey, why: RetryReason, now: Time) -> bool {
         let spent = self.balancer.spend_retry(k, why, now);
         self.announce();
         spent
     }
 
-    fn budget_use(&self, k: ServiceKey, now: Time) -> BudgetUse {
+    fn budget_use(&self, k: ServiceKey, now: Time) -> BudgetUsage {
         self.balancer.budget_use(k, now)
     }
 
@@ -166,8 +176,8 @@
         changes
     }
 
-    fn limit_withdrawn(&mut self, k: AttemptKey) -> bool {
-        let is_lifted = self.balancer.limit_withdrawn(k);
+    fn clear_limit(&mut self, k: AttemptKey) -> bool {
+        let is_lifted = self.balancer.clear_limit(k);
         self.announce();
         is_lifted
     }
@@ -184,7 +194,7 @@
     /// Shared state of this box.
     pub mesh: Arc<Mesh>,
     /// Balancer and limits.
-    pub policy: Arc<Mutex<Announcer>>,
+    pub policy: Arc<Mutex<BroadcastBalancer>>,
 }
 
 impl Routes for TableRoutes {
@@ -208,7 +218,7 @@
         let Some(service) = policy.balancer().service(name) else {
             return Err(not_ready(format!("service {name} is not set up on this box yet")));
         };
-        self.mesh.share(policy.balancer(), now);
+        self.mesh.update_fleet_scope(policy.balancer(), now);
         policy.balancer().arrived(service, now);
         if let Some(o) = &organisation
             && let Err(wait) = policy.admit(o.id, now)
@@ -223,11 +233,11 @@
         };
         Ok(Routed {
             belongs,
-            ask: Ask {
+            ask: RequestInfo {
                 service,
                 repeatable: route.kind.is_repeatable(),
                 priority,
-                bulky: route.kind == RequestKind::Download,
+                large_response: route.kind == RequestKind::Download,
                 aim: route.aim,
                 left: None,
                 route: NameId::of(&route.name),
@@ -298,7 +308,7 @@
 }
 
 /// Refuses a request over its organisation's limit, with a time to retry after.
-fn over_limit(request: &str, o: &Organisation, wait: Duration, usage: LimitUse) -> OwnAnswer {
+fn over_limit(request: &str, o: &Organisation, wait: Duration, usage: LimitUsage) -> OwnAnswer {
     log::info!(
         request, organisation = &*o.name, rate = usage.rate as f32, level = usage.level as f32,
         hall = usage.hall, others = usage.others,
@@ -320,56 +330,56 @@
 
 /// Applies tables, lists and news to the policy on the serving thread.
 #[derive(Debug)]
-pub struct Pump {
+pub struct BalancerUpdater {
     /// Shared state of this box.
     pub mesh: Arc<Mesh>,
     /// Balancer and limits.
-    pub policy: Arc<Mutex<Announcer>>,
+    pub policy: Arc<Mutex<BroadcastBalancer>>,
     /// Rate-limited log of the doubts that other boxes raise.
-    pub doubts: Mutex<DoubtLog>,
+    pub doubts: Mutex<SuspicionLog>,
 }
 
 #[async_trait]
-impl Feeder for Pump {
+impl Feeder for BalancerUpdater {
     async fn feed(&self) {
         loop {
             self.apply_updates();
             tokio::select! {
-                () = self.mesh.serving.notified() => {}
-                (from, news) = self.mesh.news_in.next() => self.apply_news(from, news),
-                requester = self.mesh.asked.next() => {
+                () = self.mesh.serve_wakeup.notified() => {}
+                (from, news) = self.mesh.updates_in.recv() => self.apply_news(from, news),
+                requester = self.mesh.belief_requests.recv() => {
                     let now = self.mesh.now();
                     let mut policy = self.policy.lock();
-                    let mut replies = policy.balancer().spendings(now);
+                    let mut replies = policy.balancer().retry_sums(now);
                     replies.extend(policy.balancer().beliefs(now));
                     drop(policy);
-                    self.mesh.beliefs.push((requester, replies));
+                    self.mesh.belief_replies.push((requester, replies));
                 }
             }
         }
     }
 }
 
-impl Pump {
+impl BalancerUpdater {
     /// Applies a received piece of news and all news queued behind it.
-    fn apply_news(&self, from: NameId, first: News) {
+    fn apply_news(&self, from: NameId, first: Update) {
         let mut policy = self.policy.lock();
         let now = self.mesh.now();
         policy.set_scope(now);
         let mut next = Some((from, first));
         let mut beliefs = 0;
         while let Some((from, news)) = next {
-            beliefs += usize::from(matches!(news, News::Belief { .. }));
+            beliefs += usize::from(matches!(news, Update::Belief { .. }));
             policy.apply_limit_news(from, news, now);
-            if let News::Leaving { upstream } = news
-                && let Some(upstream) = policy.balancer().learn_leaving(upstream)
+            if let Update::Leaving { upstream } = news
+                && let Some(upstream) = policy.balancer().record_shutdown(upstream)
             {
                 log::info!(upstream, from = from.0; "news: {upstream} announced its shutdown");
             }
             if let Some(doubt) = policy.balancer().heard(from, news, now) {
-                self.doubts.lock().note(from, &doubt, now);
+                self.doubts.lock().log(from, &doubt, now);
             }
-            next = self.mesh.news_in.pop();
+            next = self.mesh.updates_in.pop();
         }
         policy.prepare_limit_reports(now);
         policy.announce();
@@ -390,8 +400,8 @@
             log::info!(version = table.version; "table: version {} is in force", table.version);
             self.mesh.in_force.store(Some(table));
         }
-        let listed = self.mesh.listed.load(Ordering::Acquire);
-        for change in self.mesh.next_list() {
+        let listed = self.mesh.list_known.load(Ordering::Acquire);
+        for change in self.mesh.take_list_changes() {
             match change {
                 ListChange::Set(l) => policy.balancer().set_upstream(l, now),
                 ListChange::Gone(name) => policy.balancer().remove_upstream(&name),
--- a/crates/honeypulley_mesh/src/store.rs
+++ b/crates/honeypulley_mesh/src/store.rs
@@ -1,11 +1,11 @@
 //! Reads and watches the platform's store while this box is a reader.
 
-use crate::readers::{LOOK_GAP, WATCH_WAIT};
+use crate::readers::{DECIDE_INTERVAL_MS, WATCH_TIMEOUT};
 use crate::state::Mesh;
 use eyre::Result;
 use honeypulley_platform::api::{Changes, Freshness, Object, Platform, PlatformError};
 use honeypulley_policy::revision::Revision;
-use honeypulley_supervisor::tree::{Duty, Stop, block_on};
+use honeypulley_supervisor::tree::{Duty, Shutdown, block_on};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -39,7 +39,7 @@
         "store"
     }
 
-    fn run(&self, stop: &Stop) -> Result<()> {
+    fn run(&self, shutdown: &Shutdown) -> Result<()> {
         block_on(async {
             tokio::select! {
                 () = self.join() => {}
@@ -49,7 +49,7 @@
                 () = self.expire_entries() => {}
                 () = self.reread_list() => {}
                 () = self.sync_held() => {}
-                () = stop.halt.cancelled() => {}
+                () = shutdown.stop.cancelled() => {}
             }
             Ok(())
         })
@@ -61,10 +61,10 @@
     pub(crate) async fn read_table(&self, f: Freshness) -> Result<Revision, PlatformError> {
         let keys = self.mesh.decoder.keys();
         // A list, not a get: it returns the store's revision as well as the table's own.
-        let all = self.platform.list(&keys.tables, f).await;
+        let all = self.platform.list(&keys.table_prefix, f).await;
         let all = self.record_result("table", f, all)?;
-        if let Some(o) = all.objects.iter().find(|o| o.key == keys.table) {
-            self.mesh.take_table(o, "platform");
+        if let Some(o) = all.objects.iter().find(|o| o.key == keys.table_key) {
+            self.mesh.apply_table(o, "platform");
         }
         Ok(all.version)
     }
@@ -73,14 +73,14 @@
     ///
     /// A stale read returns [`Revision::ZERO`], so that no watch starts from it.
     pub(crate) async fn read_list(&self, f: Freshness) -> Result<Revision, PlatformError> {
-        let prefix = &self.mesh.decoder.keys().upstreams;
+        let prefix = &self.mesh.decoder.keys().upstream_prefix;
         let all = self.platform.list(prefix, f).await;
         let all = self.record_result("list", f, all)?;
         if f == Freshness::Stale {
-            self.mesh.take_old_list(&all, "platform");
+            self.mesh.apply_stale_list(&all, "platform");
             return Ok(Revision::ZERO);
         }
-        self.mesh.take_list(&all, "platform");
+        self.mesh.apply_full_list(&all, "platform");
         self.mesh.confirm_list();
         Ok(all.version)
     }
@@ -99,7 +99,7 @@
                 log::warn!(in_touch; "readers: what the platform holds {word} to this box");
             }
             let (changed, reading) = {
-                let boxes = self.mesh.book().count();
+                let boxes = self.mesh.address_book().count();
                 let mut readers = self.mesh.readers();
                 let changed = readers.decide(boxes, fastrand::f64(), self.mesh.now());
                 (changed, readers.is_reading())
@@ -108,9 +108,9 @@
                 let word = if reading { "starts" } else { "stops" };
                 log::info!(reading; "readers: this box {word} reading the platform");
                 self.mesh.reader_changed.notify_waiters();
-                self.mesh.telling.notify_one();
+                self.mesh.broadcast_wakeup.notify_one();
             }
-            let gap = self.mesh.readers().look_gap(self.mesh.now());
+            let gap = self.mesh.readers().decide_interval(self.mesh.now());
             let gap = fastrand::u64(gap.0..gap.1);
             tokio::time::sleep(Duration::from_millis(gap)).await;
         }
@@ -132,7 +132,7 @@
         let mut cursor = WatchCursor::default();
         loop {
             self.wait_until_reader().await;
-            let restored = self.mesh.restored.notified();
+            let restored = self.mesh.restore_wakeup.notified();
             let Some(since) = cursor.position(self.mesh.epoch()) else {
                 match self.read_table(Freshness::Latest).await {
                     Ok(version) => cursor.reset(version),
@@ -141,14 +141,14 @@
                 continue;
             };
             let keys = self.mesh.decoder.keys();
-            let watch = self.platform.watch(&keys.tables, since, WATCH_WAIT);
+            let watch = self.platform.watch(&keys.table_prefix, since, WATCH_TIMEOUT);
             let Some(got) = until_restored(restored, watch).await else { continue };
             match self.record_result("watch of tables", Freshness::Latest, got) {
                 Ok(c) => {
                     cursor.advance(c.version);
-                    let newest = c.objects.iter().filter(|o| o.key == keys.table);
+                    let newest = c.objects.iter().filter(|o| o.key == keys.table_key);
                     if let Some(o) = newest.max_by_key(|o| o.version) {
-                        self.mesh.take_table(o, "platform");
+                        self.mesh.apply_table(o, "platform");
                     }
                 }
                 Err(e) => cursor.handle_error(&e).await,
@@ -164,7 +164,7 @@
                 cursor.invalidate();
             }
             self.wait_until_reader().await;
-            let restored = self.mesh.restored.notified();
+            let restored = self.mesh.restore_wakeup.notified();
             let Some(since) = cursor.position(self.mesh.epoch()) else {
                 match self.read_list(Freshness::Latest).await {
                     Ok(version) => cursor.reset(version),
@@ -172,13 +172,13 @@
                 }
                 continue;
             };
-            let prefix = &self.mesh.decoder.keys().upstreams;
-            let watch = self.platform.watch(prefix, since, WATCH_WAIT);
+            let prefix = &self.mesh.decoder.keys().upstream_prefix;
+            let watch = self.platform.watch(prefix, since, WATCH_TIMEOUT);
             let Some(got) = until_restored(restored, watch).await else { continue };
             match self.record_result("watch of upstreams", Freshness::Latest, got) {
                 Ok(c) => {
                     cursor.advance(c.version);
-                    self.mesh.take_changes(&c, "platform");
+                    self.mesh.apply_watched_changes(&c, "platform");
                     self.mesh.confirm_list();
                     if !(c.objects.is_empty() && c.removed.is_empty()) {
                         self.delay_next_watch().await;
@@ -199,13 +199,13 @@
     /// Rereads the list from the platform when no peer could supply the missing changes.
     async fn reread_list(&self) {
         loop {
-            self.mesh.rereading.notified().await;
+            self.mesh.reread_wakeup.notified().await;
             log::warn!(
                 "list: rereading it from the platform, no peer has supplied the missing changes"
             );
             // A failure is recorded and logged by `read_list`; the peers are asked again below.
             let _ = self.read_list(Freshness::Latest).await;
-            self.mesh.asking.notify_one();
+            self.mesh.query_wakeup.notify_one();
         }
     }
 
@@ -213,7 +213,7 @@
     async fn expire_entries(&self) {
         loop {
             self.mesh.expire_list();
-            tokio::time::sleep(Duration::from_millis(LOOK_GAP.1)).await;
+            tokio::time::sleep(Duration::from_millis(DECIDE_INTERVAL_MS.1)).await;
         }
     }
 
@@ -228,7 +228,7 @@
     ) -> Result<T, PlatformError> {
         match &r {
             Ok(_) if f == Freshness::Stale => {
-                self.mesh.readers().answered_old(self.mesh.now());
+                self.mesh.readers().record_stale_answer(self.mesh.now());
             }
             // The platform is reachable, but its objects have to be reread.
             Err(e @ PlatformError::Restored { .. }) => {
@@ -238,16 +238,16 @@
                 if let Err(e) = &r {
                     log::info!("store: {what} needs a full read: {e}");
                 }
-                if self.mesh.readers().answered(self.mesh.now()) {
+                if self.mesh.readers().record_answer(self.mesh.now()) {
                     log::info!("readers: the platform responds to this box again");
                 }
             }
             Err(e) => {
                 log::info!("store: {what} failed: {e}");
                 let timed_out = matches!(e, PlatformError::Unknown { .. });
-                if self.mesh.readers().failed(timed_out) {
+                if self.mesh.readers().record_failure(timed_out) {
                     log::warn!("readers: the platform no longer responds to this box");
-                    self.mesh.telling.notify_one();
+                    self.mesh.broadcast_wakeup.notify_one();
                 }
             }
         }
@@ -322,7 +322,7 @@
 /// # Errors
 /// Returns any error of the platform.
 pub async fn fetch_table(mesh: &Mesh, p: &dyn Platform) -> Result<Option<Object>, PlatformError> {
-    p.get(&mesh.decoder.keys().table).await
+    p.get(&mesh.decoder.keys().table_key).await
 }
 
 /// Sleeps for `wait` with 50 % jitter, then doubles it up to [`MAX_BACKOFF`].
--- a/crates/honeypulley_mesh/tests/boxes/departures.rs
+++ b/crates/honeypulley_mesh/tests/boxes/departures.rs
@@ -13,9 +13,12 @@
 //! Each case here disables one path. The departure must arrive by another one within the time
 //! that a bound of two seconds leaves for propagation and repair.
 
-use crate::support::{Connections, Passes, Relay, TestBox, all, at, entry, nothing, said, table};
+use crate::support::{
+    Connections, DatagramFilter, Relay, TestBox, at, drop_all, pass_all, table_object, unwrap_body,
+    upstream_object,
+};
 use honeypulley_mesh::list::ListChange;
-use honeypulley_peer::codec::{Beacon, Body, Told};
+use honeypulley_peer::codec::{Beacon, Body, ListUpdate};
 use honeypulley_peer::listing::{Entry, EntryState};
 use honeypulley_platform::api::Changes;
 use honeypulley_policy::spec::MemberState;
@@ -30,9 +33,9 @@
 }
 
 /// Passes all datagrams but the first `count` list updates.
-fn drop_changes(mut count: u32) -> Passes {
+fn drop_changes(mut count: u32) -> DatagramFilter {
     Box::new(move |_, body| {
-        let is_dropped = count > 0 && matches!(said(body), Body::Changes { .. });
+        let is_dropped = count > 0 && matches!(unwrap_body(body), Body::Changes { .. });
         count -= u32::from(is_dropped);
         !is_dropped
     })
@@ -40,15 +43,19 @@
 
 /// Makes a reader receive the shutdown of these upstreams from its watch.
 fn announce_leaving(b: &TestBox, names: &[String]) {
-    let objects = (11..).zip(names).map(|(version, n)| entry(n, "leaving", version)).collect();
-    b.mesh.take_changes(&Changes { version: at(30), objects, removed: Vec::new() }, "the test");
+    let objects =
+        (11..).zip(names).map(|(version, n)| upstream_object(n, "leaving", version)).collect();
+    b.mesh.apply_watched_changes(
+        &Changes { version: at(30), objects, removed: Vec::new() },
+        "the test",
+    );
 }
 
 /// Makes a reader apply a full list in which the first upstream is leaving.
 fn apply_full_list(b: &TestBox) {
-    let all = (1..10).map(|i| entry(&format!("u{i}"), "live", i + 1));
-    let objects = all.chain([entry("u0", "leaving", 11)]).collect();
-    b.mesh.take_list(&Changes { version: at(30), objects, removed: Vec::new() }, "the test");
+    let all = (1..10).map(|i| upstream_object(&format!("u{i}"), "live", i + 1));
+    let objects = all.chain([upstream_object("u0", "leaving", 11)]).collect();
+    b.mesh.apply_full_list(&Changes { version: at(30), objects, removed: Vec::new() }, "the test");
 }
 
 /// Returns the beacon of a reader that the platform has just answered.
@@ -78,19 +85,19 @@
     #[case] connections: Connections,
 ) {
     let (reader, other) = (TestBox::start("a", "hall-a"), TestBox::start("b", "hall-a"));
-    let _relay = Relay::start(&reader, &other, connections, drop_changes(lost), all());
-    reader.read();
+    let _relay = Relay::start(&reader, &other, connections, drop_changes(lost), pass_all());
+    reader.become_reader();
     announce_leaving(&reader, &names(leaving));
-    assert_eq!(other.until_left(&names(leaving), PROPAGATION_LIMIT), Vec::<String>::new());
+    assert_eq!(other.wait_for_departures(&names(leaving), PROPAGATION_LIMIT), Vec::<String>::new());
 }
 
 #[rstest]
 fn a_departure_found_in_a_full_list_is_broadcast() {
     let (reader, other) = (TestBox::start("a", "hall-a"), TestBox::start("b", "hall-a"));
-    let _relay = Relay::start(&reader, &other, Connections::Refused, all(), nothing());
-    reader.read();
+    let _relay = Relay::start(&reader, &other, Connections::Refused, pass_all(), drop_all());
+    reader.become_reader();
     apply_full_list(&reader);
-    assert_eq!(other.until_left(&names(1), PROPAGATION_LIMIT), Vec::<String>::new());
+    assert_eq!(other.wait_for_departures(&names(1), PROPAGATION_LIMIT), Vec::<String>::new());
 }
 
 #[rstest]
@@ -99,14 +106,15 @@
     let (forwarder, other) = (TestBox::start("d", "hall-b"), TestBox::start("b", "hall-b"));
     // The other box receives the reader's beacons through a forwarder in its data hall,
     // which can't obtain the announced changes from anyone else.
-    let drops_changes: Passes = Box::new(|_, body| !matches!(said(body), Body::Changes { .. }));
-    let _relay = Relay::start(&reader, &forwarder, Connections::Refused, drops_changes, nothing());
-    forwarder.know(&other, other.addr);
-    other.know(&forwarder, forwarder.addr);
-    other.know(&reader, reader.addr);
-    reader.read();
+    let drops_changes: DatagramFilter =
+        Box::new(|_, body| !matches!(unwrap_body(body), Body::Changes { .. }));
+    let _relay = Relay::start(&reader, &forwarder, Connections::Refused, drops_changes, drop_all());
+    forwarder.add_peer(&other, other.addr);
+    other.add_peer(&forwarder, forwarder.addr);
+    other.add_peer(&reader, reader.addr);
+    reader.become_reader();
     apply_full_list(&reader);
-    assert_eq!(other.until_left(&names(1), PROPAGATION_LIMIT), Vec::<String>::new());
+    assert_eq!(other.wait_for_departures(&names(1), PROPAGATION_LIMIT), Vec::<String>::new());
 }
 
 /// Tables, like lists, were once pulled from the forwarder of their announcement.
@@ -114,20 +122,20 @@
 fn a_missed_table_is_pulled_from_a_box_that_has_it() {
     let reader = TestBox::start("a", "hall-a");
     let (forwarder, other) = (TestBox::start("d", "hall-b"), TestBox::start("b", "hall-b"));
-    let _relay = Relay::start(&reader, &forwarder, Connections::Refused, all(), nothing());
-    forwarder.know(&other, other.addr);
-    other.know(&forwarder, forwarder.addr);
-    other.know(&reader, reader.addr);
+    let _relay = Relay::start(&reader, &forwarder, Connections::Refused, pass_all(), drop_all());
+    forwarder.add_peer(&other, other.addr);
+    other.add_peer(&forwarder, forwarder.addr);
+    other.add_peer(&reader, reader.addr);
     for b in [&reader, &forwarder, &other] {
-        b.mesh.take_table(&table("3", 5), "the test");
+        b.mesh.apply_table(&table_object("3", 5), "the test");
     }
-    reader.read();
-    reader.mesh.take_table(&table("4", 20), "the test");
+    reader.become_reader();
+    reader.mesh.apply_table(&table_object("4", 20), "the test");
     let start = Instant::now();
-    while other.mesh.table_number() < 4 && start.elapsed() < PROPAGATION_LIMIT {
+    while other.mesh.table_version() < 4 && start.elapsed() < PROPAGATION_LIMIT {
         std::thread::sleep(Duration::from_millis(10));
     }
-    assert_eq!(other.mesh.table_number(), 4);
+    assert_eq!(other.mesh.table_version(), 4);
 }
 
 /// Half of the boxes, including readers, had been isolated. One that reconnected broadcast
@@ -137,13 +145,13 @@
 fn a_peer_cannot_impose_its_hold_on_a_connected_box() {
     let (sender, other) = (TestBox::start("a", "hall-a"), TestBox::start("b", "hall-a"));
     let now = other.mesh.now();
-    other.mesh.readers().heard(sender.mesh.id, &reader_beacon(10), now);
+    other.mesh.readers().record_beacon(sender.mesh.id, &reader_beacon(10), now);
     let state = EntryState::Gone { hold: Duration::from_millis(2_300) };
     let entries = vec![Entry { name: "u0".to_owned(), version: at(11), state }];
     let update =
-        Told { since: at(10), upto: at(11), part: 0, parts: 1, age: Duration::ZERO, entries };
-    other.mesh.hear_changes(sender.mesh.id, update, sender.addr);
-    let changes: Vec<_> = other.mesh.next_list();
+        ListUpdate { since: at(10), upto: at(11), part: 0, parts: 1, age: Duration::ZERO, entries };
+    other.mesh.apply_peer_changes(sender.mesh.id, update, sender.addr);
+    let changes: Vec<_> = other.mesh.take_list_changes();
     assert!(changes.contains(&ListChange::Gone("u0".to_owned())), "{changes:?}");
 }
 
@@ -152,12 +160,12 @@
 #[test]
 fn a_version_known_only_to_a_lost_box_is_reached_by_reading_the_platform() {
     let (lost, b) = (TestBox::start("a", "hall-a"), TestBox::start("b", "hall-a"));
-    b.mesh.take_beacon(lost.mesh.id, lost.addr, reader_beacon(12));
-    assert!(b.mesh.catch_up().misses(b.mesh.list_now().version));
-    let objects = (0..10).map(|i| entry(&format!("u{i}"), "live", i + 1)).collect();
-    b.mesh.take_list(&Changes { version: at(30), objects, removed: Vec::new() }, "the test");
-    let held = b.mesh.list_now().version;
-    assert!(!b.mesh.catch_up().misses(held), "the list at {held} includes all changes");
+    b.mesh.apply_beacon(lost.mesh.id, lost.addr, reader_beacon(12));
+    assert!(b.mesh.catch_up().is_behind(b.mesh.list_status().version));
+    let objects = (0..10).map(|i| upstream_object(&format!("u{i}"), "live", i + 1)).collect();
+    b.mesh.apply_full_list(&Changes { version: at(30), objects, removed: Vec::new() }, "the test");
+    let held = b.mesh.list_status().version;
+    assert!(!b.mesh.catch_up().is_behind(held), "the list at {held} includes all changes");
     assert_eq!(held, at(12), "a higher version would make peers request it");
 }
 
@@ -165,28 +173,30 @@
 fn changes_of_two_threads_are_queued_in_order() {
     let b = TestBox::start("a", "hall-a");
     // Discard the initial list; from here on, only one upstream changes.
-    assert_eq!(b.mesh.next_list().len(), 10);
+    assert_eq!(b.mesh.take_list_changes().len(), 10);
     let state = |v: u64| if v.is_multiple_of(2) { "live" } else { "leaving" };
     let changes = |v| Changes {
         version: at(v),
-        objects: vec![entry("u0", state(v), v)],
+        objects: vec![upstream_object("u0", state(v), v)],
         removed: Vec::new(),
     };
     let last_change = std::thread::scope(|s| {
         for first in [11, 12] {
             let mesh = &b.mesh;
             s.spawn(move || {
-                (first..2_000).step_by(2).for_each(|v| mesh.take_changes(&changes(v), "a duty"));
+                (first..2_000)
+                    .step_by(2)
+                    .for_each(|v| mesh.apply_watched_changes(&changes(v), "a duty"));
             });
         }
         let mut last_change = None;
         for _ in 0..1_000 {
-            last_change = b.mesh.next_list().pop().or(last_change);
+            last_change = b.mesh.take_list_changes().pop().or(last_change);
         }
         last_change
     });
-    let last = b.mesh.next_list().pop().or(last_change);
+    let last = b.mesh.take_list_changes().pop().or(last_change);
     let is_leaving =
         |c: &ListChange| matches!(c, ListChange::Set(l) if l.member.state == MemberState::Leaving);
-    assert_eq!(last.as_ref().is_some_and(is_leaving), b.knows_left("u0"), "{last:?}");
+    assert_eq!(last.as_ref().is_some_and(is_leaving), b.has_departed("u0"), "{last:?}");
 }
--- a/crates/honeypulley_mesh/tests/boxes/join.rs
+++ b/crates/honeypulley_mesh/tests/boxes/join.rs
@@ -1,14 +1,14 @@
 //! Startup of a box: it reads table and list from the platform with few calls, and becomes known
 //! to all other boxes without a datagram to each.
 
-use crate::support::{TestBox, key, mesh, table};
+use crate::support::{TestBox, key, mesh, table_object};
 use async_trait::async_trait;
 use bytes::Bytes;
 use honeypulley_mesh::prelude::*;
 use honeypulley_platform::api::{Changes, Expect, Freshness, Object, Platform, PlatformError};
 use honeypulley_platform::memory::{Faults, MemoryPlatform};
 use honeypulley_policy::revision::Revision;
-use honeypulley_supervisor::tree::{Stop, Tree};
+use honeypulley_supervisor::tree::{Shutdown, Supervisor};
 use parking_lot::Mutex;
 use rstest::rstest;
 use std::net::SocketAddr;
@@ -68,7 +68,7 @@
 /// Runs the store duty of one box until it is dropped.
 struct JoiningBox {
     mesh: Arc<Mesh>,
-    stop: Stop,
+    shutdown: Shutdown,
     thread: Option<std::thread::JoinHandle<()>>,
 }
 
@@ -78,14 +78,15 @@
         let settings = MeshSettings::builder().name(name).hall("hall-a").peer(addr).key(key());
         let mesh = mesh(settings.first_start(first_start).build());
         let platform: Arc<dyn Platform> = Arc::<RecordingPlatform>::clone(platform);
-        let stop = Stop::default();
-        let tree = Tree::new(stop.clone()).duty(StoreDuty { mesh: Arc::clone(&mesh), platform });
-        let thread = std::thread::spawn(move || tree.run().expect("the duty runs"));
-        Self { mesh, stop, thread: Some(thread) }
+        let shutdown = Shutdown::default();
+        let supervisor =
+            Supervisor::new(shutdown.clone()).duty(StoreDuty { mesh: Arc::clone(&mesh), platform });
+        let thread = std::thread::spawn(move || supervisor.run().expect("the duty runs"));
+        Self { mesh, shutdown, thread: Some(thread) }
     }
 
     fn wait_joined(&self) {
-        wait_until("the box has joined", || self.mesh.table_number() > 0 && self.mesh.knows_list());
+        wait_until("the box has joined", || self.mesh.table_version() > 0 && self.mesh.has_list());
         // The box's record is written last.
         std::thread::sleep(Duration::from_millis(100));
     }
@@ -93,7 +94,7 @@
 
 impl Drop for JoiningBox {
     fn drop(&mut self) {
-        self.stop.halt.cancel();
+        self.shutdown.stop.cancel();
         if let Some(t) = self.thread.take() {
             let _ = t.join();
         }
@@ -151,8 +152,8 @@
     p.inner.set_faults(Faults { stale_at: before.number, ..Faults::default() });
     let b = JoiningBox::start("box1", &p, false);
     b.wait_joined();
-    assert!(b.mesh.list_now().version <= before, "{:?}", b.mesh.list_now());
-    assert_eq!(b.mesh.list_now().age, None, "the age of a stale list is unknown");
+    assert!(b.mesh.list_status().version <= before, "{:?}", b.mesh.list_status());
+    assert_eq!(b.mesh.list_status().age, None, "the age of a stale list is unknown");
     assert!(
         !b.mesh.readers().in_touch(b.mesh.now()),
         "a stale read does not show the platform's current state"
@@ -164,11 +165,11 @@
 fn a_missing_table_is_awaited_without_polling() {
     let p = Arc::new(RecordingPlatform::default());
     let b = JoiningBox::start("box1", &p, true);
-    wait_until("the list is known", || b.mesh.knows_list());
+    wait_until("the list is known", || b.mesh.has_list());
     std::thread::sleep(Duration::from_millis(900));
     assert!(p.count("stale") <= 3, "{:?}", p.calls.lock());
     write(&p, "t/main", "1");
-    wait_until("the table has arrived", || b.mesh.table_number() == 1);
+    wait_until("the table has arrived", || b.mesh.table_version() == 1);
 }
 
 /// Guards against a hello from each box to every other, 85,000 datagrams at a start of 293 boxes.
@@ -179,11 +180,13 @@
         .map(|i| TestBox::start(&format!("old{i}"), if i < 3 { "hall-a" } else { "hall-b" }))
         .collect();
     for b in &old {
-        old.iter().filter(|o| o.addr != b.addr).for_each(|o| b.know(o, o.addr));
+        old.iter().filter(|o| o.addr != b.addr).for_each(|o| b.add_peer(o, o.addr));
     }
     let new = TestBox::start_on("new", "hall-b", vec![old[0].addr], p);
-    wait_until("all know the new box", || old.iter().all(|b| b.mesh.book().knows(new.mesh.id)));
-    wait_until("the new box knows all others", || new.mesh.book().count() == 7);
+    wait_until("all know the new box", || {
+        old.iter().all(|b| b.mesh.address_book().knows(new.mesh.id))
+    });
+    wait_until("the new box knows all others", || new.mesh.address_book().count() == 7);
 }
 
 /// A reader's new table spreads through each data hall without a call to the platform.
@@ -198,11 +201,11 @@
         })
         .collect();
     for b in &boxes {
-        boxes.iter().filter(|o| o.addr != b.addr).for_each(|o| b.know(o, o.addr));
+        boxes.iter().filter(|o| o.addr != b.addr).for_each(|o| b.add_peer(o, o.addr));
     }
-    boxes[0].read();
-    boxes[0].mesh.take_table(&table("5", 31), "the test");
-    wait_until("all boxes have the table", || boxes.iter().all(|b| b.mesh.table_number() == 5));
+    boxes[0].become_reader();
+    boxes[0].mesh.apply_table(&table_object("5", 31), "the test");
+    wait_until("all boxes have the table", || boxes.iter().all(|b| b.mesh.table_version() == 5));
     assert_eq!(p.count("get"), 0, "{:?}", p.calls.lock());
 }
 
@@ -219,12 +222,12 @@
         })
         .collect();
     for b in &boxes {
-        boxes.iter().filter(|o| o.addr != b.addr).for_each(|o| b.know(o, o.addr));
+        boxes.iter().filter(|o| o.addr != b.addr).for_each(|o| b.add_peer(o, o.addr));
     }
     boxes.truncate(8);
     let began = Instant::now();
-    boxes[0].read();
-    boxes[0].mesh.take_table(&table("5", 31), "the test");
-    wait_until("all boxes have the table", || boxes.iter().all(|b| b.mesh.table_number() == 5));
+    boxes[0].become_reader();
+    boxes[0].mesh.apply_table(&table_object("5", 31), "the test");
+    wait_until("all boxes have the table", || boxes.iter().all(|b| b.mesh.table_version() == 5));
     assert!(began.elapsed() < Duration::from_millis(1_500), "{:?}", began.elapsed());
 }
--- a/crates/honeypulley_mesh/tests/boxes/model.rs
+++ b/crates/honeypulley_mesh/tests/boxes/model.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use honeypulley_mesh::list::ListChange;
 use honeypulley_mesh::prelude::*;
-use honeypulley_peer::codec::{Beacon, Told};
+use honeypulley_peer::codec::{Beacon, ListUpdate};
 use honeypulley_platform::api::{Changes, Expect, Freshness, Object, Platform, PlatformError};
 use honeypulley_platform::memory::{Backup, MemoryPlatform};
 use honeypulley_policy::revision::Revision;
@@ -76,7 +76,7 @@
 /// A message that may be delivered late or more than once.
 #[derive(Clone, Debug)]
 enum Message {
-    Changes(Told),
+    Changes(ListUpdate),
     Table(Object),
     List(Changes),
     Beacon(Beacon),
@@ -85,7 +85,7 @@
 /// A simulated box and the state of its serving thread.
 struct SimBox {
     mesh: Arc<Mesh>,
-    platform: EpochWatch,
+    platform: EpochTracker,
     addr: SocketAddr,
     /// Positions of its watches of tables and of upstreams.
     cursors: [Option<Revision>; 2],
@@ -120,8 +120,8 @@
 fn sim_box(i: usize, memory: &Arc<MemoryPlatform>) -> SimBox {
     let addr: SocketAddr = ([10, 0, 0, i as u8 + 1], 7_000).into();
     let settings = MeshSettings::builder().name(format!("box{i}")).hall("h").peer(addr).key(key());
-    let mesh = mesh_with_clock(settings.build(), Clock::start_by(|| CLOCK.with(Cell::get)));
-    let platform = EpochWatch::new(Arc::<MemoryPlatform>::clone(memory), Arc::clone(&mesh));
+    let mesh = mesh_with_clock(settings.build(), Clock::with_source(|| CLOCK.with(Cell::get)));
+    let platform = EpochTracker::new(Arc::<MemoryPlatform>::clone(memory), Arc::clone(&mesh));
     let (cursors, serving, table) = ([None; 2], BTreeMap::new(), 0);
     SimBox { mesh, platform, addr, cursors, serving, table }
 }
@@ -215,7 +215,7 @@
     fn apply_tables(&mut self, i: usize, got: Result<Changes, PlatformError>) -> Option<Revision> {
         let changes = got.ok()?;
         for o in changes.objects {
-            self.boxes[i].mesh.take_table(&o, "platform");
+            self.boxes[i].mesh.apply_table(&o, "platform");
             self.sent.push((i, i, Message::Table(o)));
         }
         Some(changes.version)
@@ -224,7 +224,7 @@
     /// Applies a list read by box `i`; returns its position if the read succeeded.
     fn apply_list(&mut self, i: usize, got: Result<Changes, PlatformError>) -> Option<Revision> {
         let all = got.ok()?;
-        self.boxes[i].mesh.take_list(&all, "platform");
+        self.boxes[i].mesh.apply_full_list(&all, "platform");
         self.boxes[i].mesh.confirm_list();
         let version = all.version;
         self.sent.push((i, i, Message::List(all)));
@@ -239,7 +239,7 @@
         let listed = self.block_on(b.platform.watch("u/", upstreams, Duration::ZERO));
         let tables = self.apply_tables(i, got);
         let listed = listed.ok().map(|c| {
-            self.boxes[i].mesh.take_changes(&c, "platform");
+            self.boxes[i].mesh.apply_watched_changes(&c, "platform");
             c.version
         });
         self.boxes[i].cursors = [tables, listed];
@@ -250,10 +250,10 @@
         let (id, addr) = (self.boxes[from].mesh.id, self.boxes[from].addr);
         let mesh = &self.boxes[to].mesh;
         match m {
-            Message::Changes(t) => mesh.hear_changes(id, t.clone(), addr),
-            Message::Table(o) => mesh.take_table(o, "late"),
-            Message::List(all) => mesh.take_list(all, "late"),
-            Message::Beacon(b) => mesh.take_beacon(id, addr, *b),
+            Message::Changes(t) => mesh.apply_peer_changes(id, t.clone(), addr),
+            Message::Table(o) => mesh.apply_table(o, "late"),
+            Message::List(all) => mesh.apply_full_list(all, "late"),
+            Message::Beacon(b) => mesh.apply_beacon(id, addr, *b),
         }
     }
 
@@ -265,10 +265,10 @@
 
     /// Makes box `to` request changes and the table of box `from`.
     fn request_changes(&mut self, from: usize, to: usize) {
-        let since = self.boxes[to].mesh.list_now().version;
+        let since = self.boxes[to].mesh.list_status().version;
         let told = self.boxes[from].mesh.changes_after(since).unwrap_or_default();
         told.into_iter().for_each(|t| self.send(from, to, Message::Changes(t)));
-        let held = self.boxes[from].mesh.held_table();
+        let held = self.boxes[from].mesh.table_snapshot();
         let key = "t/main".to_owned();
         let table = Object { key, value: held.value, version: held.version };
         if !table.value.is_empty() {
@@ -278,7 +278,7 @@
 
     /// Makes box `to` pull the full list of box `from`.
     fn pull(&mut self, from: usize, to: usize) {
-        let held = self.boxes[from].mesh.held_list();
+        let held = self.boxes[from].mesh.list_snapshot();
         if !held.version.is_zero() {
             self.boxes[to].mesh.replace(held.version, held.value, "a peer");
         }
@@ -340,10 +340,10 @@
     /// Applies pending changes to the serving threads, and checks the invariants.
     fn check_invariants(&mut self) {
         for b in &mut self.boxes {
-            let table = b.mesh.table_number();
+            let table = b.mesh.table_version();
             assert!(table >= b.table, "table {} was reverted to {table}", b.table);
             b.table = table;
-            for change in b.mesh.next_list() {
+            for change in b.mesh.take_list_changes() {
                 match change {
                     ListChange::Gone(name) => {
                         b.serving.remove(&name);
@@ -386,7 +386,7 @@
         world.converge(readers);
         let expected = world.expected();
         for b in &world.boxes {
-            prop_assert_eq!(b.mesh.table_number(), world.table);
+            prop_assert_eq!(b.mesh.table_version(), world.table);
             prop_assert_eq!(&b.serving, &expected, "{}", b.mesh.settings.name);
         }
         Ok(())
--- a/crates/honeypulley_mesh/tests/boxes/restore.rs
+++ b/crates/honeypulley_mesh/tests/boxes/restore.rs
@@ -1,17 +1,19 @@
 //! Behaviour of a box after its platform was restored from a backup.
 
-use crate::support::{Connections, Relay, TestBox, all, at, entry, key, mesh, table};
+use crate::support::{
+    Connections, Relay, TestBox, at, key, mesh, pass_all, table_object, upstream_object,
+};
 use async_trait::async_trait;
 use bytes::Bytes;
 use honeypulley_mesh::prelude::*;
-use honeypulley_peer::codec::{Beacon, Told};
+use honeypulley_peer::codec::{Beacon, ListUpdate};
 use honeypulley_peer::listing::{Entry, EntryState};
 use honeypulley_platform::api::{Changes, Expect, Freshness, Object, Platform, PlatformError};
 use honeypulley_platform::memory::MemoryPlatform;
 use honeypulley_policy::collector::NameId;
-use honeypulley_policy::quarantine::{Fingerprint, RequestNews, Scope};
+use honeypulley_policy::quarantine::{Fingerprint, RequestUpdate, Scope};
 use honeypulley_policy::revision::Revision;
-use honeypulley_supervisor::tree::{Stop, Tree};
+use honeypulley_supervisor::tree::{Shutdown, Supervisor};
 use rstest::rstest;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,7 +27,7 @@
     mesh: Arc<Mesh>,
     /// The platform, unless the test supplies its own.
     memory: Arc<MemoryPlatform>,
-    stop: Stop,
+    shutdown: Shutdown,
     thread: Option<std::thread::JoinHandle<()>>,
 }
 
@@ -42,12 +44,13 @@
         let addr: SocketAddr = "10.0.0.7:7000".parse().expect("the address is valid");
         let settings = MeshSettings::builder().name("box1").hall("hall-a").peer(addr).key(key());
         let mesh = mesh(settings.build());
-        let platform: Arc<dyn Platform> = Arc::new(EpochWatch::new(inner, Arc::clone(&mesh)));
-        let stop = Stop::default();
-        let tree = Tree::new(stop.clone()).duty(StoreDuty { mesh: Arc::clone(&mesh), platform });
-        let thread = std::thread::spawn(move || tree.run().expect("the duty runs"));
-        wait_until("the box is a reader", || mesh.readers().is_reading() && mesh.knows_list());
-        Self { mesh, memory: Arc::default(), stop, thread: Some(thread) }
+        let platform: Arc<dyn Platform> = Arc::new(EpochTracker::new(inner, Arc::clone(&mesh)));
+        let shutdown = Shutdown::default();
+        let supervisor =
+            Supervisor::new(shutdown.clone()).duty(StoreDuty { mesh: Arc::clone(&mesh), platform });
+        let thread = std::thread::spawn(move || supervisor.run().expect("the duty runs"));
+        wait_until("the box is a reader", || mesh.readers().is_reading() && mesh.has_list());
+        Self { mesh, memory: Arc::default(), shutdown, thread: Some(thread) }
     }
 
     fn is_stored(&self, key: &str) -> bool {
@@ -57,7 +60,7 @@
 
 impl Drop for Reader {
     fn drop(&mut self) {
-        self.stop.halt.cancel();
+        self.shutdown.stop.cancel();
         if let Some(t) = self.thread.take() {
             let _ = t.join();
         }
@@ -88,8 +91,8 @@
     }
 }
 
-fn hold() -> RequestNews {
-    RequestNews::Held {
+fn hold() -> RequestUpdate {
+    RequestUpdate::Held {
         request: Fingerprint(7),
         scope: Scope::Content,
         left: Duration::from_secs(60),
@@ -112,7 +115,7 @@
 fn holds_lost_in_a_restore_are_written_again() {
     let r = Reader::start();
     let backup = r.memory.backup();
-    r.mesh.hear_requests(vec![hold()]);
+    r.mesh.apply_request_updates(vec![hold()]);
     wait_until("the hold is stored", || r.is_stored("h/requests"));
     r.memory.restore(backup);
     assert!(!r.is_stored("h/requests"));
@@ -131,12 +134,12 @@
         futures::executor::block_on(put).expect("there is no other writer");
     };
     ["2", "3", "4"].into_iter().for_each(write_table);
-    wait_until("table 4 is held", || r.mesh.table_number() == 4);
+    wait_until("table 4 is held", || r.mesh.table_version() == 4);
     r.memory.restore(backup);
     wait_until("the restore is noticed", || r.mesh.restores() == 1);
-    assert_eq!(r.mesh.table_number(), 4, "the restored table is older");
+    assert_eq!(r.mesh.table_version(), 4, "the restored table is older");
     ["3", "5"].into_iter().for_each(write_table);
-    wait_until("table 5 is held", || r.mesh.table_number() == 5);
+    wait_until("table 5 is held", || r.mesh.table_version() == 5);
 }
 
 /// A platform whose stale reads are from before a restore.
@@ -178,7 +181,7 @@
 #[test]
 fn a_box_that_starts_after_a_restore_uses_fresh_reads() {
     let r = Reader::start_on(Arc::new(StaleReadsPlatform(initial_platform())));
-    assert_eq!(r.mesh.table_number(), 1);
+    assert_eq!(r.mesh.table_version(), 1);
 }
 
 /// Starts a box with a list from a stale read.
@@ -188,14 +191,14 @@
     let b = TestBox::start_empty("a", "hall-a");
     let objects: Vec<Object> = (0..10)
         .map(|i| {
-            let mut o = entry(&format!("u{i}"), "live", 80 + i);
+            let mut o = upstream_object(&format!("u{i}"), "live", 80 + i);
             o.version.epoch = 2;
             o
         })
         .collect();
-    b.mesh.learn_epoch(2, "the test");
+    b.mesh.observe_epoch(2, "the test");
     let version = Revision::new(2, 89);
-    b.mesh.take_old_list(&Changes { version, objects, removed: Vec::new() }, "the test");
+    b.mesh.apply_stale_list(&Changes { version, objects, removed: Vec::new() }, "the test");
     b
 }
 
@@ -207,19 +210,19 @@
     let b = start_with_stale_list();
     let via: SocketAddr = "10.0.0.7:7000".parse().expect("the address is valid");
     let list = Revision::new(2, number);
-    b.mesh.take_beacon(NameId(7), via, Beacon { list, restored: true, ..beacon(2) });
+    b.mesh.apply_beacon(NameId(7), via, Beacon { list, restored: true, ..beacon(2) });
     let gone = |i: u64| Entry {
         name: format!("u{i}"),
         version: Revision::new(2, 40 - i),
         state: EntryState::Gone { hold: Duration::ZERO },
     };
     let entries: Vec<Entry> = (0..3).map(gone).collect();
-    let told = Told::cut(Revision::new(2, 0), list, Duration::ZERO, &entries);
+    let told = ListUpdate::cut(Revision::new(2, 0), list, Duration::ZERO, &entries);
     for part in told.expect("few entries can be encoded") {
-        b.mesh.hear_changes(NameId(7), part, via);
+        b.mesh.apply_peer_changes(NameId(7), part, via);
     }
-    assert_eq!(b.mesh.list_now().version, list);
-    assert!((0..3).all(|i| b.knows_left(&format!("u{i}"))));
+    assert_eq!(b.mesh.list_status().version, list);
+    assert!((0..3).all(|i| b.has_departed(&format!("u{i}"))));
 }
 
 /// Guards against a full read of the list for every beacon in the seconds after a restore.
@@ -229,22 +232,22 @@
     let via: SocketAddr = "10.0.0.7:7000".parse().expect("the address is valid");
     let list = Revision::new(2, 95);
     let beacon = Beacon { list, restored: true, ..beacon(2) };
-    b.mesh.take_beacon(NameId(7), via, beacon);
-    assert_eq!(b.mesh.list_now().version, Revision::new(2, 0));
+    b.mesh.apply_beacon(NameId(7), via, beacon);
+    assert_eq!(b.mesh.list_status().version, Revision::new(2, 0));
     b.mesh.replace(list, Vec::new(), "a peer");
-    b.mesh.take_beacon(NameId(7), via, beacon);
-    assert_eq!(b.mesh.list_now().version, list);
+    b.mesh.apply_beacon(NameId(7), via, beacon);
+    assert_eq!(b.mesh.list_status().version, list);
 }
 
 #[test]
 fn a_fresh_read_replaces_a_stale_list() {
     let b = start_with_stale_list();
     let version = Revision::new(2, 40);
-    let mut objects = vec![entry("u0", "leaving", 40)];
+    let mut objects = vec![upstream_object("u0", "leaving", 40)];
     objects[0].version.epoch = 2;
-    b.mesh.take_list(&Changes { version, objects, removed: Vec::new() }, "the test");
-    assert_eq!(b.mesh.list_now().version, version);
-    assert!((0..10).all(|i| b.knows_left(&format!("u{i}"))));
+    b.mesh.apply_full_list(&Changes { version, objects, removed: Vec::new() }, "the test");
+    assert_eq!(b.mesh.list_status().version, version);
+    assert!((0..10).all(|i| b.has_departed(&format!("u{i}"))));
 }
 
 /// Builds the beacon of a reader that knows the platform's `epoch`.
@@ -267,11 +270,11 @@
 fn a_reader_unaware_of_the_restore_is_not_fresh() {
     let b = TestBox::start("a", "hall-a");
     let via: SocketAddr = "10.0.0.7:7000".parse().expect("the address is valid");
-    b.mesh.take_beacon(NameId(7), via, beacon(2));
+    b.mesh.apply_beacon(NameId(7), via, beacon(2));
     assert!(b.mesh.readers().in_touch(b.mesh.now()));
-    b.mesh.take_beacon(NameId(8), via, beacon(3));
+    b.mesh.apply_beacon(NameId(8), via, beacon(3));
     assert_eq!((b.mesh.epoch(), b.mesh.restores()), (3, 2));
-    b.mesh.take_beacon(NameId(7), via, beacon(2));
+    b.mesh.apply_beacon(NameId(7), via, beacon(2));
     assert_eq!(b.mesh.readers().live(b.mesh.now()), [NameId(8)]);
 }
 
@@ -279,12 +282,12 @@
 fn a_box_is_in_touch_again_once_a_reader_has_read_after_the_restore() {
     let b = TestBox::start("a", "hall-a");
     let via: SocketAddr = "10.0.0.7:7000".parse().expect("the address is valid");
-    b.mesh.take_beacon(NameId(7), via, beacon(1));
+    b.mesh.apply_beacon(NameId(7), via, beacon(1));
     assert!(b.mesh.readers().in_touch(b.mesh.now()));
     let unread = Beacon { read_age: Duration::from_secs(3_600), ..beacon(2) };
-    b.mesh.take_beacon(NameId(7), via, unread);
+    b.mesh.apply_beacon(NameId(7), via, unread);
     assert!(!b.mesh.readers().in_touch(b.mesh.now()), "no reader has read the restored platform");
-    b.mesh.take_beacon(NameId(7), via, beacon(2));
+    b.mesh.apply_beacon(NameId(7), via, beacon(2));
     assert!(b.mesh.readers().in_touch(b.mesh.now()));
 }
 
@@ -293,59 +296,59 @@
 fn a_version_lost_in_a_restore_is_not_awaited() {
     let b = TestBox::start("a", "hall-a");
     let via: SocketAddr = "10.0.0.7:7000".parse().expect("the address is valid");
-    b.mesh.take_beacon(NameId(7), via, Beacon { list: at(90), ..beacon(1) });
-    assert!(b.mesh.catch_up().misses(b.mesh.list_now().version));
-    let objects = (0..10).map(|i| entry(&format!("u{i}"), "live", i + 1));
+    b.mesh.apply_beacon(NameId(7), via, Beacon { list: at(90), ..beacon(1) });
+    assert!(b.mesh.catch_up().is_behind(b.mesh.list_status().version));
+    let objects = (0..10).map(|i| upstream_object(&format!("u{i}"), "live", i + 1));
     let objects = objects.map(|mut o| {
         o.version.epoch = 2;
         o
     });
     let version = Revision::new(2, 40);
-    b.mesh.learn_epoch(2, "the test");
-    b.mesh.take_list(
+    b.mesh.observe_epoch(2, "the test");
+    b.mesh.apply_full_list(
         &Changes { version, objects: objects.collect(), removed: Vec::new() },
         "the test",
     );
-    assert!(!b.mesh.catch_up().misses(b.mesh.list_now().version));
+    assert!(!b.mesh.catch_up().is_behind(b.mesh.list_status().version));
 }
 
 /// A reader that notices a restore sends the full list, whatever its peers hold.
 #[test]
 fn a_restored_list_reaches_the_peers_in_full() {
     let (reader, other) = (TestBox::start("a", "hall-a"), TestBox::start("b", "hall-a"));
-    let _relay = Relay::start(&reader, &other, Connections::Refused, all(), all());
-    reader.read();
-    reader.mesh.learn_epoch(2, "the test");
+    let _relay = Relay::start(&reader, &other, Connections::Refused, pass_all(), pass_all());
+    reader.become_reader();
+    reader.mesh.observe_epoch(2, "the test");
     // The restored platform lists one upstream as leaving and lacks another.
-    let mut objects = vec![entry("u0", "leaving", 3)];
-    objects.extend((1..9).map(|i| entry(&format!("u{i}"), "live", i + 1)));
+    let mut objects = vec![upstream_object("u0", "leaving", 3)];
+    objects.extend((1..9).map(|i| upstream_object(&format!("u{i}"), "live", i + 1)));
     objects.iter_mut().for_each(|o| o.version.epoch = 2);
     let version = Revision::new(2, 9);
-    reader.mesh.take_list(&Changes { version, objects, removed: Vec::new() }, "the test");
-    wait_until("the other box has the list", || other.mesh.list_now().version.epoch == 2);
-    assert!(other.knows_left("u0"));
-    assert!(other.knows_left("u9"), "a lost entry does not count as live while it is on hold");
+    reader.mesh.apply_full_list(&Changes { version, objects, removed: Vec::new() }, "the test");
+    wait_until("the other box has the list", || other.mesh.list_status().version.epoch == 2);
+    assert!(other.has_departed("u0"));
+    assert!(other.has_departed("u9"), "a lost entry does not count as live while it is on hold");
     assert_eq!(other.mesh.upstreams(), 10, "a lost upstream gets work until its hold expires");
 }
 
 #[test]
 fn a_rewritten_table_is_held_at_its_new_revision() {
     let b = TestBox::start("a", "hall-a");
-    b.mesh.take_table(&table("3", 5), "the test");
-    let mut again = table("3", 2);
+    b.mesh.apply_table(&table_object("3", 5), "the test");
+    let mut again = table_object("3", 2);
     again.version.epoch = 2;
-    b.mesh.take_table(&again, "the test");
-    assert_eq!((b.mesh.table_number(), b.mesh.held_table().version), (3, again.version));
+    b.mesh.apply_table(&again, "the test");
+    assert_eq!((b.mesh.table_version(), b.mesh.table_snapshot().version), (3, again.version));
 }
 
 /// A table's number identifies its content, whatever the platform returns later.
 #[test]
 fn a_table_of_the_held_number_with_other_content_is_dropped() {
     let b = TestBox::start("a", "hall-a");
-    b.mesh.take_table(&table("3", 5), "the test");
-    let held = b.mesh.held_table();
-    let mut other = table("+3", 9);
+    b.mesh.apply_table(&table_object("3", 5), "the test");
+    let held = b.mesh.table_snapshot();
+    let mut other = table_object("+3", 9);
     other.version.epoch = 2;
-    b.mesh.take_table(&other, "the test");
-    assert_eq!(b.mesh.held_table(), held);
+    b.mesh.apply_table(&other, "the test");
+    assert_eq!(b.mesh.table_snapshot(), held);
 }
--- a/crates/honeypulley_mesh/tests/boxes/support.rs
+++ b/crates/honeypulley_mesh/tests/boxes/support.rs
@@ -9,13 +9,13 @@
 use honeypulley_peer::listing::{BoxAddress, EntryState};
 use honeypulley_platform::api::{Changes, Object, Platform};
 use honeypulley_platform::memory::MemoryPlatform;
-use honeypulley_policy::balance::Listed;
+use honeypulley_policy::balance::UpstreamEntry;
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::revision::Revision;
 use honeypulley_policy::routes::{CallerLimits, RouteTable};
 use honeypulley_policy::spec::{Member, MemberState};
 use honeypulley_supervisor::clock::Clock;
-use honeypulley_supervisor::tree::{Stop, Tree};
+use honeypulley_supervisor::tree::{Shutdown, Supervisor};
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -46,7 +46,7 @@
             .map_err(|e| malformed(e.to_string()))
     }
 
-    fn upstream(&self, o: &Object) -> Result<Listed, DecodeError> {
+    fn upstream(&self, o: &Object) -> Result<UpstreamEntry, DecodeError> {
         let text = String::from_utf8_lossy(&o.value);
         let (state, born) = text.split_once(':').unwrap_or((&text, ""));
         let state = match state {
@@ -64,7 +64,7 @@
             hall: "hall-a".to_owned(),
             state,
         };
-        Ok(Listed { member, slots: 3, cold: Duration::ZERO, born: born.parse().ok() })
+        Ok(UpstreamEntry { member, slots: 3, cold: Duration::ZERO, born: born.parse().ok() })
     }
 }
 
@@ -74,7 +74,7 @@
 }
 
 /// Returns an upstream's entry as the platform stores it.
-pub fn entry(name: &str, state: &'static str, version: u64) -> Object {
+pub fn upstream_object(name: &str, state: &'static str, version: u64) -> Object {
     Object {
         key: format!("{UPSTREAMS}{name}"),
         value: Bytes::from_static(state.as_bytes()),
@@ -83,7 +83,7 @@
 }
 
 /// Returns a routing table as the platform stores it.
-pub fn table(number: &'static str, version: u64) -> Object {
+pub fn table_object(number: &'static str, version: u64) -> Object {
     Object {
         key: "t/main".to_owned(),
         value: Bytes::from_static(number.as_bytes()),
@@ -116,11 +116,11 @@
 /// Builds the shared state of a box with a given clock.
 pub fn mesh_with_clock(settings: MeshSettings, clock: Clock) -> Arc<Mesh> {
     let keys = StoreKeys {
-        table: "t/main".to_owned(),
-        tables: "t/".to_owned(),
-        upstreams: UPSTREAMS.to_owned(),
-        boxes: "b/".to_owned(),
-        held: "h/requests".to_owned(),
+        table_key: "t/main".to_owned(),
+        table_prefix: "t/".to_owned(),
+        upstream_prefix: UPSTREAMS.to_owned(),
+        box_prefix: "b/".to_owned(),
+        held_key: "h/requests".to_owned(),
     };
     let leaving = Arc::new(AtomicBool::new(false));
     Arc::new(Mesh::new(settings, clock, Arc::new(TestDecoder(keys)), leaving))
@@ -131,7 +131,7 @@
     pub mesh: Arc<Mesh>,
     pub addr: SocketAddr,
     hall: String,
-    stop: Stop,
+    shutdown: Shutdown,
     thread: Option<JoinHandle<()>>,
 }
 
@@ -149,8 +149,11 @@
         platform: Arc<dyn Platform>,
     ) -> Self {
         let b = Self::start_without_list(name, hall, seeds, platform);
-        let objects = (0..10).map(|i| entry(&format!("u{i}"), "live", i + 1)).collect();
-        b.mesh.take_list(&Changes { version: at(10), objects, removed: Vec::new() }, "the test");
+        let objects = (0..10).map(|i| upstream_object(&format!("u{i}"), "live", i + 1)).collect();
+        b.mesh.apply_full_list(
+            &Changes { version: at(10), objects, removed: Vec::new() },
+            "the test",
+        );
         b
     }
 
@@ -171,29 +174,29 @@
         socket.set_nonblocking(true).expect("the socket can be non-blocking");
         let settings = MeshSettings::builder().name(name).hall(hall).peer(addr).key(key());
         let mesh = mesh(settings.seeds(seeds).build());
-        let stop = Stop::default();
+        let shutdown = Shutdown::default();
         let duty = PeerDuty { mesh: Arc::clone(&mesh), platform, socket, listener };
-        let tree = Tree::new(stop.clone()).duty(duty);
-        let thread = std::thread::spawn(move || tree.run().expect("the duty runs"));
-        Self { mesh, addr, hall: hall.to_owned(), stop, thread: Some(thread) }
+        let supervisor = Supervisor::new(shutdown.clone()).duty(duty);
+        let thread = std::thread::spawn(move || supervisor.run().expect("the duty runs"));
+        Self { mesh, addr, hall: hall.to_owned(), shutdown, thread: Some(thread) }
     }
 
     /// Makes this box a reader that has just had an answer of the platform.
-    pub fn read(&self) {
+    pub fn become_reader(&self) {
         let now = self.mesh.now();
         self.mesh.readers().decide(1, 0.0, now);
-        self.mesh.readers().answered(now);
+        self.mesh.readers().record_answer(now);
         assert!(self.mesh.readers().is_reading());
     }
 
     /// Adds another box to this box's address book, at `addr`.
-    pub fn know(&self, other: &Self, addr: SocketAddr) {
-        self.mesh.learn(BoxAddress { id: other.mesh.id, addr, hall: other.hall.clone() });
+    pub fn add_peer(&self, other: &Self, addr: SocketAddr) {
+        self.mesh.add_address(BoxAddress { id: other.mesh.id, addr, hall: other.hall.clone() });
     }
 
     /// Returns whether this box lists an upstream as gone or leaving, or not at all.
-    pub fn knows_left(&self, name: &str) -> bool {
-        let list = self.mesh.held_list().value;
+    pub fn has_departed(&self, name: &str) -> bool {
+        let list = self.mesh.list_snapshot().value;
         let found = list.iter().find(|e| e.name == name);
         !found.is_some_and(
             |e| matches!(&e.state, EntryState::Present(l) if l.member.state == MemberState::Live),
@@ -203,11 +206,11 @@
     /// Waits until this box knows that all these upstreams have left.
     ///
     /// Returns those of which it doesn't know `within` that time.
-    pub fn until_left(&self, names: &[String], within: Duration) -> Vec<String> {
+    pub fn wait_for_departures(&self, names: &[String], within: Duration) -> Vec<String> {
         let began = Instant::now();
         loop {
             let unknown: Vec<String> =
-                names.iter().filter(|n| !self.knows_left(n)).cloned().collect();
+                names.iter().filter(|n| !self.has_departed(n)).cloned().collect();
             if unknown.is_empty() || began.elapsed() > within {
                 return unknown;
             }
@@ -218,7 +221,7 @@
 
 impl Drop for TestBox {
     fn drop(&mut self) {
-        self.stop.halt.cancel();
+        self.shutdown.stop.cancel();
         if let Some(t) = self.thread.take() {
             let _ = t.join();
         }
@@ -235,7 +238,7 @@
 }
 
 /// Filter of a relay; returns whether to forward a datagram of this sender and body.
-pub type Passes = Box<dyn FnMut(NameId, &Body) -> bool + Send>;
+pub type DatagramFilter = Box<dyn FnMut(NameId, &Body) -> bool + Send>;
 
 /// A relay between two boxes, each of which sees the other at the relay's address.
 ///
@@ -253,8 +256,8 @@
         first: &TestBox,
         second: &TestBox,
         connections: Connections,
-        to_second: Passes,
-        to_first: Passes,
+        to_second: DatagramFilter,
+        to_first: DatagramFilter,
     ) -> Self {
         let (listener, at_first, as_first) = bind();
         let at_second = UdpSocket::bind("127.0.0.1:0").expect("there is a free port");
@@ -263,8 +266,8 @@
         let (from_second, from_first) = (clone(&at_first), clone(&at_second));
         forward(from_first, at_first, second.addr, to_second);
         forward(from_second, at_second, first.addr, to_first);
-        second.know(first, as_first);
-        first.know(second, as_second);
+        second.add_peer(first, as_first);
+        first.add_peer(second, as_second);
         Self { _listener: listener }
     }
 }
@@ -274,7 +277,7 @@
 }
 
 /// Forwards the datagrams received on `from` to `to`, from the address of `by`.
-fn forward(from: UdpSocket, by: UdpSocket, to: SocketAddr, mut filter: Passes) {
+fn forward(from: UdpSocket, by: UdpSocket, to: SocketAddr, mut filter: DatagramFilter) {
     std::thread::spawn(move || {
         let mut buffer = [0; 2_000];
         while let Ok((n, _)) = from.recv_from(&mut buffer) {
@@ -287,17 +290,17 @@
 }
 
 /// Returns a filter that forwards every datagram.
-pub fn all() -> Passes {
+pub fn pass_all() -> DatagramFilter {
     Box::new(|_, _| true)
 }
 
 /// Returns a filter that drops every datagram.
-pub fn nothing() -> Passes {
+pub fn drop_all() -> DatagramFilter {
     Box::new(|_, _| false)
 }
 
 /// Returns the body of a datagram, or of the datagram that it asks to forward.
-pub fn said(body: &Body) -> Body {
+pub fn unwrap_body(body: &Body) -> Body {
     match body {
         Body::Forward(sealed) => Datagram::open(sealed, &key()).expect("a valid seal").body,
         other => other.clone(),
--- a/crates/honeypulley_peer/src/codec.rs
+++ b/crates/honeypulley_peer/src/codec.rs
@@ -9,9 +9,9 @@
 use crate::requests::{read_requests, write_requests};
 use bytes::Bytes;
 use honeypulley_bundle::head::Version;
-use honeypulley_policy::balance::News;
+use honeypulley_policy::balance::Update;
 use honeypulley_policy::collector::{Judgement, NameId, Report, ReportItem, Verdict};
-use honeypulley_policy::quarantine::RequestNews;
+use honeypulley_policy::quarantine::RequestUpdate;
 use honeypulley_policy::revision::Revision;
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
 ///
 /// This allows 96 entries, more than a release of a service changes at once. For more
 /// changes, fetching the full list over a connection is cheaper than datagrams.
-pub const MAX_TOLD_PARTS: usize = 16;
+pub const MAX_FRAGMENTS: usize = 16;
 
 /// Payload of a datagram.
 #[derive(Clone, Debug, PartialEq)]
@@ -78,12 +78,12 @@
         /// Sequence number of the sender, as an update may arrive by several paths.
         seq: u32,
         /// Items of the update.
-        items: Vec<News>,
+        items: Vec<Update>,
     },
     /// A sealed datagram to be forwarded unchanged within the receiver's data hall.
     Forward(Bytes),
     /// Changes of the list of upstreams, or a fragment of them.
-    Changes(Told),
+    Changes(ListUpdate),
     /// Requests the changes after a revision; the answer is [`Body::Changes`].
     Want {
         /// Revision up to which the list of the requesting box is complete.
@@ -94,7 +94,7 @@
         /// Sequence number of the sender, shared with [`Body::News`].
         seq: u32,
         /// Items of the update.
-        items: Vec<RequestNews>,
+        items: Vec<RequestUpdate>,
     },
 }
 
@@ -103,7 +103,7 @@
 /// Changes are applied only once all fragments have been received, as a lost fragment must
 /// not be mistaken for an empty one.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Told {
+pub struct ListUpdate {
     /// Revision after which the changes begin.
     pub since: Revision,
     /// Revision up to which all fragments together are complete.
@@ -118,10 +118,10 @@
     pub entries: Vec<Entry>,
 }
 
-impl Told {
+impl ListUpdate {
     /// Splits changes into fragments of one datagram each.
     ///
-    /// Returns `None` if there are more than [`MAX_TOLD_PARTS`] fragments.
+    /// Returns `None` if there are more than [`MAX_FRAGMENTS`] fragments.
     #[must_use]
     pub fn cut(
         since: Revision,
@@ -130,7 +130,7 @@
         entries: &[Entry],
     ) -> Option<Vec<Self>> {
         let count = entries.len().div_ceil(MAX_ENTRIES).max(1);
-        if count > MAX_TOLD_PARTS {
+        if count > MAX_FRAGMENTS {
             return None;
         }
         let fragment = |i: usize| {
@@ -322,7 +322,7 @@
             }),
             Ok(wire::News(r)) => Self::News { seq: r.get_seq(), items: read_news(r.get_seen()?)? },
             Ok(wire::Forward(r)) => Self::Forward(Bytes::copy_from_slice(r?)),
-            Ok(wire::Changes(r)) => Self::Changes(Told {
+            Ok(wire::Changes(r)) => Self::Changes(ListUpdate {
                 since: Revision::new(r.get_since_epoch(), r.get_since()),
                 upto: Revision::new(r.get_upto_epoch(), r.get_upto()),
                 part: r.get_part(),
--- a/crates/honeypulley_peer/tests/wire.rs
+++ b/crates/honeypulley_peer/tests/wire.rs
@@ -2,16 +2,16 @@
 
 use honeypulley_bundle::head::Version;
 use honeypulley_peer::codec::{
-    Beacon, Body, Datagram, MAX_DATAGRAM, MAX_ITEMS, Told, report_bodies,
+    Beacon, Body, Datagram, ListUpdate, MAX_DATAGRAM, MAX_ITEMS, report_bodies,
 };
 use honeypulley_peer::key::FleetKey;
 use honeypulley_peer::listing::{Entry, EntryState, MAX_ENTRIES};
 use honeypulley_peer::requests::MAX_REQUESTS;
-use honeypulley_policy::balance::News;
+use honeypulley_policy::balance::Update;
 use honeypulley_policy::belief::Observation;
 use honeypulley_policy::collector::{Judgement, NameId, Report, ReportItem, Verdict};
 use honeypulley_policy::fleet_limits::HallCount;
-use honeypulley_policy::quarantine::{Fingerprint, RequestNews, Scope};
+use honeypulley_policy::quarantine::{Fingerprint, RequestUpdate, Scope};
 use honeypulley_policy::revision::Revision;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -36,7 +36,7 @@
     )
 }
 
-fn list_changes() -> impl Strategy<Value = Told> {
+fn list_changes() -> impl Strategy<Value = ListUpdate> {
     let entry = ("[a-z0-9-]{1,24}", revision(), any::<u32>()).prop_map(|(name, version, hold)| {
         let state = EntryState::Gone { hold: Duration::from_millis(hold.into()) };
         Entry { name, version, state }
@@ -45,7 +45,7 @@
     (revision(), revision(), any::<[u16; 2]>(), any::<u32>(), entries).prop_map(
         |(since, upto, [part, parts], age, entries)| {
             let age = Duration::from_millis(age.into());
-            Told { since, upto, part, parts, age, entries }
+            ListUpdate { since, upto, part, parts, age, entries }
         },
     )
 }
@@ -74,23 +74,23 @@
         |(id, what, a, b, kind)| {
             let upstream = NameId(id);
             match kind {
-                0 => News::Seen { upstream, what },
-                1 => News::Open { upstream, count: id as u16 },
-                7 => News::Ended {
+                0 => Update::Seen { upstream, what },
+                1 => Update::Open { upstream, count: id as u16 },
+                7 => Update::Ended {
                     upstream,
                     count: id as u16,
                     served: id % 2 == 0,
                     far: (id % 3 > 0).then_some(id as u8 / 2),
                     ago: Duration::from_millis(id % 60_000),
                 },
-                2 => News::Well { upstream },
-                3 => News::Belief { upstream, phases: [a, b] },
-                4 => News::Spent { service: upstream, sum: id as u16 },
+                2 => Update::Well { upstream },
+                3 => Update::Belief { upstream, phases: [a, b] },
+                4 => Update::Spent { service: upstream, sum: id as u16 },
                 10 => {
                     let rate = (id % 5 > 0).then_some(id as u16 as f32 / 8.0 + 0.125);
-                    News::Limit { upstream, rate }
+                    Update::Limit { upstream, rate }
                 }
-                8 => News::Admitted { subject: upstream, sum: id as u16 },
+                8 => Update::Admitted { subject: upstream, sum: id as u16 },
                 9 => {
                     let hall = NameId(id.rotate_left(7));
                     let count = HallCount {
@@ -99,11 +99,11 @@
                         latest: (id >> 16) as u16,
                         level: (id >> 32) as i16,
                     };
-                    News::HallAdmitted { subject: upstream, count }
+                    Update::HallAdmitted { subject: upstream, count }
                 }
-                11 => News::Leaving { upstream },
-                5 => News::Denied { service: upstream, seen: id as u16, spent: id as u8 },
-                _ => News::Retry { service: upstream, seen: id as u16, spent: id as u8 },
+                11 => Update::Leaving { upstream },
+                5 => Update::Denied { service: upstream, seen: id as u16, spent: id as u8 },
+                _ => Update::Retry { service: upstream, seen: id as u16, spent: id as u8 },
             }
         },
     );
@@ -113,15 +113,15 @@
             let (request, span) = (Fingerprint(request), Duration::from_millis(span.into()));
             let began = Duration::from_millis(began.into());
             match kind {
-                0 => RequestNews::Ended {
+                0 => RequestUpdate::Ended {
                     request,
                     scope,
                     upstream: NameId(upstream),
                     began,
                     ended: span,
                 },
-                1 => RequestNews::Served { request, ago: span },
-                _ => RequestNews::Held { request, scope, left: span, trials },
+                1 => RequestUpdate::Served { request, ago: span },
+                _ => RequestUpdate::Held { request, scope, left: span, trials },
             }
         },
     );
@@ -219,7 +219,7 @@
 
 #[test]
 fn the_largest_request_update_fits_a_forwarded_datagram() {
-    let item = RequestNews::Ended {
+    let item = RequestUpdate::Ended {
         request: Fingerprint(u64::MAX - 1),
         scope: Scope::Content,
         upstream: NameId(u64::MAX - 2),
--- a/crates/honeypulley_policy/benches/pick.rs
+++ b/crates/honeypulley_policy/benches/pick.rs
@@ -5,8 +5,8 @@
 //! Prints the median over several rounds in nanoseconds. Run with `cargo bench -p
 //! honeypulley_policy --bench pick`.
 
-use honeypulley_policy::balance::{Balancer, Listed, News, RetryRule};
-use honeypulley_policy::chooser::{Ask, Chooser};
+use honeypulley_policy::balance::{Balancer, RetryRule, Update, UpstreamEntry};
+use honeypulley_policy::chooser::{RequestInfo, RoutingPolicy};
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::router::Outcome;
 use honeypulley_policy::spec::{Member, MemberState, ServiceSpec};
@@ -29,7 +29,10 @@
             hall: "h".to_owned(),
             state: MemberState::Live,
         };
-        b.set_upstream(Listed { member, slots: 3, cold: Duration::ZERO, born: None }, Time::ZERO);
+        b.set_upstream(
+            UpstreamEntry { member, slots: 3, cold: Duration::ZERO, born: None },
+            Time::ZERO,
+        );
     }
     b
 }
@@ -38,7 +41,7 @@
 fn open_peer_attempts(b: &mut Balancer, now: Time) {
     for peer in 0..PEERS {
         let upstream = NameId::of(&format!("u{}", peer % UPSTREAMS));
-        let open = News::Open { upstream, count: 1 };
+        let open = Update::Open { upstream, count: 1 };
         b.heard(NameId::of(&format!("peer{peer}")), open, now);
     }
 }
@@ -46,7 +49,7 @@
 /// Sets a rate limit, far above the traffic, on the first `upstreams` upstreams.
 fn set_limits(b: &mut Balancer, upstreams: usize, now: Time) {
     for i in 0..upstreams {
-        let news = News::Limit { upstream: NameId::of(&format!("u{i}")), rate: Some(9e5) };
+        let news = Update::Limit { upstream: NameId::of(&format!("u{i}")), rate: Some(9e5) };
         b.heard(NameId::of("peer0"), news, now);
     }
 }
@@ -55,11 +58,11 @@
 fn pick_time(limited: usize) -> u64 {
     let mut b = balancer();
     let service = b.service("s").expect("service is configured");
-    let ask = Ask {
+    let ask = RequestInfo {
         service,
         repeatable: true,
         priority: 0,
-        bulky: false,
+        large_response: false,
         aim: Some(Duration::from_secs(1)),
         left: None,
         route: NameId::of("r"),
@@ -77,7 +80,7 @@
             total += begin.elapsed();
             b.answered(pick.attempt, true, now);
             b.finish(pick.attempt, Outcome::Whole, now);
-            b.take_news();
+            b.take_updates();
         }
         times.push(total.as_nanos() as u64 / PICKS);
     }
--- a/crates/honeypulley_policy/src/chooser.rs
+++ b/crates/honeypulley_policy/src/chooser.rs
@@ -1,6 +1,6 @@
 //! Interface between the serving path and a routing policy.
 
-use crate::balance::{BudgetUse, NamedLimit, Resend};
+use crate::balance::{AdvertisedLimit, BudgetUsage, RetryReason};
 use crate::collector::NameId;
 use crate::revision::Revision;
 use crate::router::{AttemptKey, Outcome, Pick, Refusal, Router, ServiceKey, UpstreamKey};
@@ -11,7 +11,7 @@
 
 /// Properties of a request that a policy takes into account.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ask {
+pub struct RequestInfo {
     /// Requested service.
     pub service: ServiceKey,
     /// Whether the request may run more than once.
@@ -19,7 +19,7 @@
     /// Priority; zero is the highest.
     pub priority: u8,
     /// Whether the response is large.
-    pub bulky: bool,
+    pub large_response: bool,
     /// Target latency of the route, if it has one.
     pub aim: Option<Duration>,
     /// Time remaining until the deadline, if there is one.
@@ -39,7 +39,7 @@
 
 /// Name and address of an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Place<'a> {
+pub struct Endpoint<'a> {
     /// Name of the instance, which is never reused.
     pub name: &'a str,
     /// IP address and port.
@@ -48,7 +48,7 @@
 
 /// State of an upstream on which a policy based its choice.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Inputs {
+pub struct PickInputs {
     /// Probability that the upstream is unhealthy, based on the observations of all boxes.
     pub sick: f64,
     /// Probability that the path from this box to the upstream has failed.
@@ -60,14 +60,14 @@
     /// Age of the last load report, if there is one.
     pub load_age: Option<Duration>,
     /// Rate limit announced by the upstream.
-    pub limit: Option<NamedLimit>,
+    pub limit: Option<AdvertisedLimit>,
     /// Version and age of the list of upstreams.
-    pub list: ListNow,
+    pub list: ListStatus,
 }
 
 /// Version and age of the list of upstreams that a box holds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ListNow {
+pub struct ListStatus {
     /// Revision up to which the list is complete.
     pub version: Revision,
     /// Time since the list was last confirmed complete, if it ever was.
@@ -75,52 +75,62 @@
 }
 
 /// A routing policy, which picks upstreams and learns from the results of attempts.
-pub trait Chooser: Debug + Send {
+pub trait RoutingPolicy: Debug + Send {
     /// Picks an upstream for one attempt and opens the attempt, skipping the `tried` ones.
     ///
     /// # Errors
     /// Returns a [`Refusal`] if no upstream is available; nothing has been sent then.
-    fn pick(&mut self, ask: &Ask, tried: &[UpstreamKey], now: Time) -> Result<Pick, Refusal>;
+    fn pick(
+        &mut self,
+        ask: &RequestInfo,
+        tried: &[UpstreamKey],
+        now: Time,
+    ) -> Result<Pick, Refusal>;
     /// Returns the name and address of an upstream, if it is still known.
-    fn place(&self, k: UpstreamKey) -> Option<Place<'_>>;
+    fn place(&self, k: UpstreamKey) -> Option<Endpoint<'_>>;
     /// Returns whether an upstream has restarted, which ends all attempts opened there before.
     fn has_restarted(&self, _: UpstreamKey) -> bool {
         false
     }
     /// Returns the state of an upstream, for logging.
-    fn inputs(&self, _: UpstreamKey, _: Time) -> Inputs {
-        Inputs::default()
+    fn inputs(&self, _: UpstreamKey, _: Time) -> PickInputs {
+        PickInputs::default()
     }
     /// Returns the shortest expected latency, for logging a refusal.
-    fn expected(&self, _: &Ask, _: Time) -> Option<Duration> {
+    fn expected(&self, _: &RequestInfo, _: Time) -> Option<Duration> {
         None
     }
     /// Returns the delay until an open attempt of this age is checked again.
-    fn look_after(&self, ask: &Ask, age: Duration) -> Duration;
+    fn recheck_delay(&self, ask: &RequestInfo, age: Duration) -> Duration;
     /// Records that an attempt is still pending.
-    fn still_open(&mut self, k: AttemptKey, now: Time);
+    fn is_in_flight(&mut self, k: AttemptKey, now: Time);
     /// Returns whether a hedged attempt is worthwhile while another of this age is pending.
     ///
     /// `Some` holds the probability that the first attempt gets no response.
-    fn hedge(&self, _: &Ask, _: AttemptKey, _: Time) -> Option<f64> {
+    fn hedge(&self, _: &RequestInfo, _: AttemptKey, _: Time) -> Option<f64> {
         Some(1.0)
     }
     /// Returns whether an attempt sent now could still meet the deadline.
-    fn is_in_time(&self, _: &Ask) -> bool {
+    fn can_meet_deadline(&self, _: &RequestInfo) -> bool {
         true
     }
     /// Checks that an upstream is available, before a retry token is spent.
     ///
     /// # Errors
     /// Returns a [`Refusal`] if no upstream is available.
-    fn may_send(&mut self, _: &Ask, _: &[UpstreamKey], _: Time) -> Result<(), Refusal> {
+    fn check_available(
+        &mut self,
+        _: &RequestInfo,
+        _: &[UpstreamKey],
+        _: Time,
+    ) -> Result<(), Refusal> {
         Ok(())
     }
     /// Spends one retry token and returns whether there was one.
-    fn spend_retry(&mut self, k: ServiceKey, why: Resend, now: Time) -> bool;
+    fn spend_retry(&mut self, k: ServiceKey, why: RetryReason, now: Time) -> bool;
     /// Returns the state of the retry budget of a service, for logging.
-    fn budget_use(&self, _: ServiceKey, _: Time) -> BudgetUse {
-        BudgetUse::default()
+    fn budget_use(&self, _: ServiceKey, _: Time) -> BudgetUsage {
+        BudgetUsage::default()
     }
     /// Records the head of a response; `ok` is false for a failure response.
     fn answered(&mut self, k: AttemptKey, ok: bool, now: Time);
@@ -129,30 +139,35 @@
     /// Records the signals that an upstream sent in the head of a response.
     fn signalled(&mut self, k: AttemptKey, s: &Signals, now: Time) -> SignalChanges;
     /// Records a successful response without a rate limit; returns whether a limit was lifted.
-    fn limit_withdrawn(&mut self, _: AttemptKey) -> bool {
+    fn clear_limit(&mut self, _: AttemptKey) -> bool {
         false
     }
     /// Closes an attempt.
     fn finish(&mut self, k: AttemptKey, outcome: Outcome, now: Time);
 }
 
-impl Chooser for Router {
-    fn pick(&mut self, ask: &Ask, tried: &[UpstreamKey], now: Time) -> Result<Pick, Refusal> {
+impl RoutingPolicy for Router {
+    fn pick(
+        &mut self,
+        ask: &RequestInfo,
+        tried: &[UpstreamKey],
+        now: Time,
+    ) -> Result<Pick, Refusal> {
         Self::pick(self, ask.service, ask.repeatable, tried, now)
     }
 
-    fn place(&self, k: UpstreamKey) -> Option<Place<'_>> {
-        self.upstream(k).map(|(name, addr)| Place { name, addr })
+    fn place(&self, k: UpstreamKey) -> Option<Endpoint<'_>> {
+        self.upstream(k).map(|(name, addr)| Endpoint { name, addr })
     }
 
-    fn look_after(&self, ask: &Ask, _: Duration) -> Duration {
+    fn recheck_delay(&self, ask: &RequestInfo, _: Duration) -> Duration {
         self.stall_limit(ask.service)
     }
 
     // The router detects overdue attempts in its own tick.
-    fn still_open(&mut self, _: AttemptKey, _: Time) {}
+    fn is_in_flight(&mut self, _: AttemptKey, _: Time) {}
 
-    fn spend_retry(&mut self, k: ServiceKey, _: Resend, _: Time) -> bool {
+    fn spend_retry(&mut self, k: ServiceKey, _: RetryReason, _: Time) -> bool {
         Self::spend_retry(self, k)
     }
 
--- a/crates/honeypulley_policy/src/fleet_limits/buckets.rs
+++ b/crates/honeypulley_policy/src/fleet_limits/buckets.rs
@@ -15,7 +15,7 @@
 use super::hall_count::{HallCount, RemoteHall};
 use super::rule::{LimitRule, RateLimit, Scope};
 use super::usage::{ANNOUNCE_INTERVAL, MIN_LEVEL, Usage};
-use crate::balance::{News, Past};
+use crate::balance::{RetryHistory, Update};
 use crate::collector::NameId;
 use crate::time::Time;
 use std::collections::{BTreeMap, BTreeSet};
@@ -47,7 +47,7 @@
 
 /// Snapshot of a subject's limit and usage, for the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct LimitUse {
+pub struct LimitUsage {
     /// Allowed requests per second.
     pub rate: f64,
     /// Remaining tokens; negative if the limit was exceeded.
@@ -62,25 +62,25 @@
 
 /// Enforces fleet-wide rate limits on one box.
 #[derive(Debug)]
-pub struct FleetLimits {
+pub struct FleetRateLimiter {
     rule: LimitRule,
     hall: NameId,
     scope: Scope,
-    past: Past,
+    past: RetryHistory,
     /// Start of counting on this box.
     started_at: Time,
     limits: BTreeMap<NameId, RateLimit>,
     usages: BTreeMap<NameId, Usage>,
-    /// Subjects with changes since the last call of [`FleetLimits::due`].
+    /// Subjects with changes since the last call of [`FleetRateLimiter::due`].
     changed: BTreeSet<NameId>,
-    news: Vec<News>,
+    news: Vec<Update>,
     rng: fastrand::Rng,
 }
 
-impl FleetLimits {
+impl FleetRateLimiter {
     /// Creates the limits of a box in data hall `hall`.
     #[must_use]
-    pub fn new(hall: &str, rule: LimitRule, past: Past, seed: u64, now: Time) -> Self {
+    pub fn new(hall: &str, rule: LimitRule, past: RetryHistory, seed: u64, now: Time) -> Self {
         Self {
             rule,
             hall: NameId::of(hall),
@@ -165,7 +165,7 @@
         u.record_admitted(1, now);
         u.announced = u.announced.wrapping_add(1);
         let sum = u.announced;
-        self.news.push(News::Admitted { subject: id, sum });
+        self.news.push(Update::Admitted { subject: id, sum });
     }
 
     /// Returns a subject's remaining tokens as of its last refill.
@@ -175,7 +175,7 @@
     }
 
     /// Applies the cumulative count of a peer in this data hall.
-    pub fn heard_box(&mut self, from: NameId, id: NameId, sum: u16, now: Time) {
+    pub fn apply_box_count(&mut self, from: NameId, id: NameId, sum: u16, now: Time) {
         let Some(&limit) = self.limits.get(&id) else { return };
         let scope = self.scope;
         let u = self.usage_mut(id, limit, now);
@@ -191,7 +191,7 @@
     }
 
     /// Applies the cumulative count of a data hall, announced by one of its boxes.
-    pub fn heard_hall(&mut self, from: NameId, id: NameId, count: HallCount, now: Time) {
+    pub fn apply_hall_count(&mut self, from: NameId, id: NameId, count: HallCount, now: Time) {
         let Some(&limit) = self.limits.get(&id) else { return };
         let (scope, window) = (self.scope, self.rule.window);
         let is_own_hall = count.hall == self.hall;
@@ -249,20 +249,20 @@
         u.unannounced = false;
         let latest = u16::try_from(u.hall_recent.latest(now)).unwrap_or(u16::MAX);
         let count = HallCount { hall, sum: u.hall_sum, latest, level: u.announced_level() };
-        self.news.push(News::HallAdmitted { subject: id, count });
+        self.news.push(Update::HallAdmitted { subject: id, count });
     }
 
     /// Drains the queued announcements.
-    pub fn take_news(&mut self) -> Vec<News> {
+    pub fn take_updates(&mut self) -> Vec<Update> {
         std::mem::take(&mut self.news)
     }
 
     /// Returns a snapshot of a subject's usage, for the log.
     #[must_use]
-    pub fn usage_of(&mut self, id: NameId, now: Time) -> Option<LimitUse> {
+    pub fn usage_of(&mut self, id: NameId, now: Time) -> Option<LimitUsage> {
         let u = self.usages.get_mut(&id)?;
         let oldest = u.remote_halls.values().map(|f| now.since(f.heard_at)).max();
-        Some(LimitUse {
+        Some(LimitUsage {
             rate: u.limit.rate,
             level: u.bucket.level,
             hall: u.hall_recent.sum(now),
@@ -279,7 +279,8 @@
         }
         // A subject first seen more than a window after the start has had no earlier
         // admissions in this hall, since peers would have announced them.
-        let is_known = self.past == Past::Empty || now.since(self.started_at) > self.rule.window;
+        let is_known =
+            self.past == RetryHistory::Empty || now.since(self.started_at) > self.rule.window;
         let reduced =
             RESTART_BURST_SHARE.mul_add(limit.burst, RESTART_SLACK_SHARE * self.rule.slack);
         let level = if is_known { limit.burst } else { reduced.min(limit.burst) };
--- a/crates/honeypulley_policy/tests/balance/budget.rs
+++ b/crates/honeypulley_policy/tests/balance/budget.rs
@@ -2,8 +2,10 @@
 
 use crate::RULE;
 use crate::balancer;
-use honeypulley_policy::balance::{Balancer, News, Past, Reach, Resend, RetryRule};
-use honeypulley_policy::chooser::Chooser;
+use honeypulley_policy::balance::{
+    Balancer, FleetScope, RetryHistory, RetryReason, RetryRule, Update,
+};
+use honeypulley_policy::chooser::RoutingPolicy;
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::spec::ServiceSpec;
 use honeypulley_policy::time::Time;
@@ -11,21 +13,21 @@
 #[test]
 fn the_retry_budget_counts_retries_of_other_boxes() {
     let mut b = balancer(3);
-    b.set_reach(Reach { boxes: 5, in_touch: true });
+    b.set_fleet_scope(FleetScope { boxes: 5, in_touch: true });
     let service = b.service("s").expect("service is configured");
     let now = Time::from_millis(100);
-    assert!(b.spend_retry(service, Resend::Failed, now));
+    assert!(b.spend_retry(service, RetryReason::Failed, now));
     for _ in 0..10 {
         b.heard(
             NameId::of("other"),
-            News::Retry { service: NameId::of("s"), seen: 0, spent: 1 },
+            Update::Retry { service: NameId::of("s"), seen: 0, spent: 1 },
             now,
         );
     }
-    assert!(!b.spend_retry(service, Resend::Failed, now), "the fleet has used up its slack");
+    assert!(!b.spend_retry(service, RetryReason::Failed, now), "the fleet has used up its slack");
     let later = Time::from_millis(11_000);
     assert!(
-        b.spend_retry(service, Resend::Failed, later),
+        b.spend_retry(service, RetryReason::Failed, later),
         "the earlier retries have left the window"
     );
 }
@@ -38,12 +40,12 @@
     for seed in 0..boxes {
         let mut b = Balancer::new("h", rule, seed);
         b.set_services(&[ServiceSpec::builder().name("s").build()], Time::ZERO);
-        b.set_reach(Reach { boxes: boxes as usize, in_touch: false });
+        b.set_fleet_scope(FleetScope { boxes: boxes as usize, in_touch: false });
         let service = b.service("s").expect("service is configured");
         for i in 0..10 {
             let now = Time::from_millis(i * 100);
             b.arrived(service, now);
-            spent += usize::from(b.spend_retry(service, Resend::Failed, now));
+            spent += usize::from(b.spend_retry(service, RetryReason::Failed, now));
         }
     }
     // A fifth of 400 requests and the slack.
@@ -53,11 +55,11 @@
 #[test]
 fn hedges_leave_budget_for_failed_attempts() {
     let mut b = balancer(3);
-    b.set_reach(Reach { boxes: 3, in_touch: true });
+    b.set_fleet_scope(FleetScope { boxes: 3, in_touch: true });
     let service = b.service("s").expect("service is configured");
     let now = Time::from_millis(100);
-    while b.spend_retry(service, Resend::Overdue { stuck: 0.1 }, now) {}
-    assert!(b.spend_retry(service, Resend::Failed, now));
+    while b.spend_retry(service, RetryReason::Overdue { stuck: 0.1 }, now) {}
+    assert!(b.spend_retry(service, RetryReason::Failed, now));
 }
 
 /// Guards against exceeding the budget by extrapolating the fleet's traffic from one box.
@@ -65,13 +67,13 @@
 fn the_retry_budget_goes_by_the_traffic_that_boxes_told() {
     let max_retries = |announced: u16| {
         let mut b = balancer(3);
-        b.set_reach(Reach { boxes: 40, in_touch: true });
+        b.set_fleet_scope(FleetScope { boxes: 40, in_touch: true });
         let service = b.service("s").expect("service is configured");
         let now = Time::from_millis(100);
         (0..100).for_each(|_| b.arrived(service, now));
-        let retry = News::Retry { service: NameId::of("s"), seen: announced, spent: 1 };
+        let retry = Update::Retry { service: NameId::of("s"), seen: announced, spent: 1 };
         b.heard(NameId::of("other"), retry, now);
-        (0..1_000).take_while(|_| b.spend_retry(service, Resend::Failed, now)).count()
+        (0..1_000).take_while(|_| b.spend_retry(service, RetryReason::Failed, now)).count()
     };
     assert!(max_retries(0) <= 30, "a fifth of 100 requests plus the slack of 10");
     assert!(max_retries(400) > 30, "announced traffic of peers adds to the budget");
@@ -84,15 +86,15 @@
 #[test]
 fn retries_made_during_a_partition_count_after_it() {
     let mut b = balancer(3);
-    b.set_reach(Reach { boxes: 5, in_touch: true });
+    b.set_fleet_scope(FleetScope { boxes: 5, in_touch: true });
     let service = b.service("s").expect("service is configured");
     let other = NameId::of("other");
-    let denied = |spent| News::Denied { service: NameId::of("s"), seen: 0, spent };
+    let denied = |spent| Update::Denied { service: NameId::of("s"), seen: 0, spent };
     let now = Time::from_millis(100);
     b.heard(other, denied(10), now);
-    assert!(!b.spend_retry(service, Resend::Failed, now), "the fleet has used up its slack");
+    assert!(!b.spend_retry(service, RetryReason::Failed, now), "the fleet has used up its slack");
     b.heard(other, denied(10), now);
-    let retry = News::Retry { service: NameId::of("s"), seen: 0, spent: 11 };
+    let retry = Update::Retry { service: NameId::of("s"), seen: 0, spent: 11 };
     b.heard(other, retry, now);
     assert_eq!(b.budget_use(service, now).others, 11, "each retry counts once");
 }
@@ -105,18 +107,18 @@
     let mut boxes: Vec<Balancer> = (0..6).map(|seed| Balancer::new("h", rule, seed)).collect();
     for b in &mut boxes {
         b.set_services(&[ServiceSpec::builder().name("s").build()], now);
-        b.set_reach(Reach { boxes: 6, in_touch: true });
+        b.set_fleet_scope(FleetScope { boxes: 6, in_touch: true });
     }
     let mut spent = 0;
     // About a hundred times as many attempts as the rule allows.
     for n in 0..6_000 {
         let i = n % 6;
         let key = boxes[i].service("s").expect("service is configured");
-        if !boxes[i].spend_retry(key, Resend::Failed, now) {
+        if !boxes[i].spend_retry(key, RetryReason::Failed, now) {
             continue;
         }
         spent += 1;
-        let news = News::Retry { service, seen: 0, spent: 1 };
+        let news = Update::Retry { service, seen: 0, spent: 1 };
         for b in boxes.iter_mut().enumerate().filter(|(j, _)| *j != i).map(|(_, b)| b) {
             b.heard(NameId(i as u64), news, now);
         }
@@ -145,14 +147,14 @@
 fn a_first_start_may_use_the_whole_slack_and_a_restart_the_rest() {
     let rule = RetryRule { slack: 58.0, ..RULE };
     let spent = |past| {
-        let mut b = Balancer::new("h", rule, 7).with_past(past);
+        let mut b = Balancer::new("h", rule, 7).with_retry_history(past);
         b.set_services(&[ServiceSpec::builder().name("s").build()], Time::ZERO);
-        b.set_reach(Reach { boxes: 1, in_touch: false });
+        b.set_fleet_scope(FleetScope { boxes: 1, in_touch: false });
         let service = b.service("s").expect("service is configured");
         let now = Time::from_millis(100);
-        (0..100).take_while(|_| b.spend_retry(service, Resend::Failed, now)).count()
+        (0..100).take_while(|_| b.spend_retry(service, RetryReason::Failed, now)).count()
     };
-    let (before, after) = (spent(Past::Empty), spent(Past::Unknown));
+    let (before, after) = (spent(RetryHistory::Empty), spent(RetryHistory::Unknown));
     assert!(before >= 40, "{before} retries at once");
     assert!(after >= 1, "a request can be retried in the first second");
     assert!(
@@ -166,21 +168,21 @@
 fn a_restarted_box_learns_of_earlier_retries() {
     let rule = RetryRule { slack: 58.0, ..RULE };
     let fleet = || {
-        let mut b = Balancer::new("h", rule, 7).with_past(Past::Empty);
+        let mut b = Balancer::new("h", rule, 7).with_retry_history(RetryHistory::Empty);
         b.set_services(&[ServiceSpec::builder().name("s").build()], Time::ZERO);
-        b.set_reach(Reach { boxes: 5, in_touch: true });
+        b.set_fleet_scope(FleetScope { boxes: 5, in_touch: true });
         b
     };
     let mut running = fleet();
     let now = Time::from_millis(9_000);
     let service = NameId::of("s");
     let other = NameId::of("other");
-    running.heard(other, News::Retry { service, seen: 0, spent: 30 }, now);
-    let mut restarted = fleet().with_past(Past::Unknown);
+    running.heard(other, Update::Retry { service, seen: 0, spent: 30 }, now);
+    let mut restarted = fleet().with_retry_history(RetryHistory::Unknown);
     restarted.set_services(&[], now);
     restarted.set_services(&[ServiceSpec::builder().name("s").build()], now);
-    let announced = running.spendings(now);
-    assert!(announced.contains(&News::Spent { service, sum: 30 }), "{announced:?}");
+    let announced = running.retry_sums(now);
+    assert!(announced.contains(&Update::Spent { service, sum: 30 }), "{announced:?}");
     for n in announced {
         restarted.heard(NameId::of("old"), n, now);
     }
@@ -188,10 +190,10 @@
     let known = restarted.budget_use(key, now);
     assert!(known.past_known && known.others == 30, "{known:?}");
     // Retries that their sender announces again count once.
-    restarted.heard(other, News::Retry { service, seen: 0, spent: 31 }, now);
+    restarted.heard(other, Update::Retry { service, seen: 0, spent: 31 }, now);
     assert_eq!(restarted.budget_use(key, now).others, 31);
     let mut more = 0;
-    while restarted.spend_retry(key, Resend::Failed, now) {
+    while restarted.spend_retry(key, RetryReason::Failed, now) {
         more += 1;
     }
     assert!((1..=27).contains(&more), "{more} retries in addition to 31 of 58");
@@ -202,6 +204,6 @@
 fn restarted_boxes_announce_no_retry_sum() {
     let mut b = Balancer::new("h", RULE, 7);
     b.set_services(&[ServiceSpec::builder().name("s").build()], Time::ZERO);
-    let announced = b.spendings(Time::from_millis(100));
+    let announced = b.retry_sums(Time::from_millis(100));
     assert!(announced.is_empty(), "{announced:?}");
 }
--- a/crates/honeypulley_policy/tests/balance/main.rs
+++ b/crates/honeypulley_policy/tests/balance/main.rs
@@ -9,9 +9,9 @@
 mod signals;
 mod trials;
 
-use honeypulley_policy::balance::{Balancer, Listed, News, Past, RetryRule};
+use honeypulley_policy::balance::{Balancer, RetryHistory, RetryRule, Update, UpstreamEntry};
 use honeypulley_policy::belief::Observation;
-use honeypulley_policy::chooser::{Ask, Chooser, LoadReport};
+use honeypulley_policy::chooser::{LoadReport, RequestInfo, RoutingPolicy};
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::router::{Outcome, Pick};
 use honeypulley_policy::signals::Signals;
@@ -24,7 +24,7 @@
 const RULE: RetryRule = RetryRule { ratio: 0.2, slack: 10.0, window: Duration::from_secs(10) };
 
 /// Returns an upstream with three slots.
-fn listed(name: &str, hall: &str, state: MemberState) -> Listed {
+fn listed(name: &str, hall: &str, state: MemberState) -> UpstreamEntry {
     let member = Member {
         name: name.to_owned(),
         service: "s".to_owned(),
@@ -32,14 +32,14 @@
         hall: hall.to_owned(),
         state,
     };
-    Listed { member, slots: 3, cold: Duration::ZERO, born: None }
+    UpstreamEntry { member, slots: 3, cold: Duration::ZERO, born: None }
 }
 
 /// Returns a box in data hall `h` with `n` local upstreams.
 ///
 /// Its fleet starts for the first time.
 fn balancer(n: usize) -> Balancer {
-    let mut b = Balancer::new("h", RULE, 7).with_past(Past::Empty);
+    let mut b = Balancer::new("h", RULE, 7).with_retry_history(RetryHistory::Empty);
     b.set_services(&[ServiceSpec::builder().name("s").build()], Time::ZERO);
     for i in 0..n {
         b.set_upstream(listed(&format!("u{i}"), "h", MemberState::Live), Time::ZERO);
@@ -48,13 +48,13 @@
 }
 
 /// Returns a request with a latency target of one second and two seconds left.
-fn ask(b: &Balancer, repeatable: bool) -> Ask {
+fn ask(b: &Balancer, repeatable: bool) -> RequestInfo {
     let service = b.service("s").expect("service is configured");
-    Ask {
+    RequestInfo {
         service,
         repeatable,
         priority: 0,
-        bulky: false,
+        large_response: false,
         aim: Some(Duration::from_secs(1)),
         left: Some(Duration::from_secs(2)),
         route: NameId::of("r"),
@@ -86,10 +86,10 @@
 /// Advertises a rate limit or none in the answer to an attempt; returns whether it changed.
 fn advertise(b: &mut Balancer, pick: &Pick, limit: Option<f64>, now: Time) -> bool {
     let changes = b.signalled(pick.attempt, &Signals { limit, ..Signals::default() }, now);
-    if limit.is_none() { b.limit_withdrawn(pick.attempt) } else { changes.limit }
+    if limit.is_none() { b.clear_limit(pick.attempt) } else { changes.limit }
 }
 
 /// Returns a peer's announcement that an upstream failed at once.
-fn failure(name: &str) -> News {
-    News::Seen { upstream: NameId::of(name), what: Observation::Failure }
+fn failure(name: &str) -> Update {
+    Update::Seen { upstream: NameId::of(name), what: Observation::Failure }
 }
--- a/crates/honeypulley_policy/tests/balance/named.rs
+++ b/crates/honeypulley_policy/tests/balance/named.rs
@@ -1,8 +1,8 @@
 //! Rate limits that upstreams advertise.
 
 use super::{RULE, advertise, ask, balancer, listed};
-use honeypulley_policy::balance::{Balancer, Listed, News, Past, Reach};
-use honeypulley_policy::chooser::{Ask, Chooser};
+use honeypulley_policy::balance::{Balancer, FleetScope, RetryHistory, Update, UpstreamEntry};
+use honeypulley_policy::chooser::{RequestInfo, RoutingPolicy};
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::router::{Outcome, Pick, RefusalKind};
 use honeypulley_policy::spec::{MemberState, ServiceSpec};
@@ -36,7 +36,7 @@
 
 /// Applies a peer's announcement of a rate limit of `u0`.
 fn announce_limit(b: &mut Balancer, rate: Option<f32>, ms: u64) {
-    let news = News::Limit { upstream: NameId::of("u0"), rate };
+    let news = Update::Limit { upstream: NameId::of("u0"), rate };
     b.heard(NameId(9), news, at(ms));
 }
 
@@ -58,14 +58,14 @@
 #[test]
 fn sends_of_the_data_hall_count_by_their_sums() {
     let mut b = balancer(3);
-    b.set_reach(Reach { boxes: 3, in_touch: true });
+    b.set_fleet_scope(FleetScope { boxes: 3, in_touch: true });
     announce_limit(&mut b, Some(1.0), 0);
     let mut got = 0;
     for s in 0..20_u16 {
         let ms = u64::from(s) * 1_000;
         // Every other datagram of the peer is lost.
         if s % 2 == 1 {
-            let news = News::Admitted { subject: NameId::of("u0"), sum: s };
+            let news = Update::Admitted { subject: NameId::of("u0"), sum: s };
             b.heard(NameId(9), news, at(ms));
         }
         got += count_u0(&mut b, ms, ms + 1_000, Some(1.0));
@@ -80,17 +80,17 @@
 fn sends_are_announced_in_the_hall_and_limits_to_all() {
     let mut b = balancer(1);
     send_one(&mut b, &[], Some(5.0), 0);
-    let limit = News::Limit { upstream: NameId::of("u0"), rate: Some(5.0) };
-    let news = b.take_news();
+    let limit = Update::Limit { upstream: NameId::of("u0"), rate: Some(5.0) };
+    let news = b.take_updates();
     assert!(news.contains(&limit) && !limit.is_for_hall(), "{news:?}");
     send_one(&mut b, &[], Some(5.0), 300);
-    let news = b.take_news();
+    let news = b.take_updates();
     assert!(!news.contains(&limit), "an unchanged limit is not announced again at once");
-    let is_sent = |n: &News| matches!(n, News::Admitted { .. }) && n.is_for_hall();
+    let is_sent = |n: &Update| matches!(n, Update::Admitted { .. }) && n.is_for_hall();
     assert_eq!(news.iter().filter(|n| is_sent(n)).count(), 1, "{news:?}");
     send_one(&mut b, &[], Some(5.0), 2_500);
     assert!(
-        b.take_news().contains(&limit),
+        b.take_updates().contains(&limit),
         "an unchanged limit is announced again after some time"
     );
 }
@@ -101,7 +101,7 @@
     let mut b = balancer(2);
     let ask = ask(&b, true);
     for u in ["u0", "u1"] {
-        let news = News::Limit { upstream: NameId::of(u), rate: Some(0.1) };
+        let news = Update::Limit { upstream: NameId::of(u), rate: Some(0.1) };
         b.heard(NameId(9), news, at(0));
     }
     let mut sent = 0;
@@ -125,12 +125,12 @@
     let mut b = balancer(2);
     announce_limit(&mut b, Some(1.0), 0);
     count_u0(&mut b, 0, 5_000, Some(1.0));
-    b.take_news();
+    b.take_updates();
     let since = (5_000..8_000).step_by(20);
     let unlimited = since.filter_map(|ms| send_one(&mut b, &["u0"], None, ms).map(|n| (n, ms)));
     let first = unlimited.into_iter().find(|(n, _)| n == "u0").expect("u0 gets requests").1;
-    let withdrawn = News::Limit { upstream: NameId::of("u0"), rate: None };
-    assert!(b.take_news().contains(&withdrawn));
+    let withdrawn = Update::Limit { upstream: NameId::of("u0"), rate: None };
+    assert!(b.take_updates().contains(&withdrawn));
     assert!(count_u0(&mut b, first + 20, first + 2_020, None) > 25, "half of the requests again");
 }
 
@@ -141,7 +141,7 @@
     let early = b.pick(&ask, &[], at(0)).expect("an upstream is available");
     announce_limit(&mut b, Some(1.0), 10);
     assert!(!advertise(&mut b, &early, None, at(20)), "the attempt is older than the limit");
-    let limit = b.limit_of(early.upstream, at(20)).expect("the limit still applies");
+    let limit = b.advertised_limit(early.upstream, at(20)).expect("the limit still applies");
     assert!((limit.rate - 1.0).abs() < 1e-9);
 }
 
@@ -163,7 +163,7 @@
     let mut b = balancer(2);
     announce_limit(&mut b, Some(0.1), 0);
     count_u0(&mut b, 0, 3_000, Some(0.1));
-    let restarted = Listed { born: Some(77), ..listed("u0", "h", MemberState::Live) };
+    let restarted = UpstreamEntry { born: Some(77), ..listed("u0", "h", MemberState::Live) };
     b.set_upstream(restarted, at(3_000));
     assert!(count_u0(&mut b, 3_000, 5_000, None) > 25, "half of the requests");
 }
@@ -174,15 +174,15 @@
     announce_limit(&mut b, Some(1.0), 0);
     let ask = ask(&b, false);
     let p = b.pick(&ask, &[], at(100)).expect("the limit is not exhausted");
-    assert!(b.limit_of(p.upstream, at(29_000)).is_some());
-    assert!(b.limit_of(p.upstream, at(31_000)).is_none());
+    assert!(b.advertised_limit(p.upstream, at(29_000)).is_some());
+    assert!(b.advertised_limit(p.upstream, at(31_000)).is_none());
 }
 
 #[test]
 fn a_started_box_receives_the_limits() {
     let mut b = balancer(2);
     announce_limit(&mut b, Some(2.5), 0);
-    let limit = News::Limit { upstream: NameId::of("u0"), rate: Some(2.5) };
+    let limit = Update::Limit { upstream: NameId::of("u0"), rate: Some(2.5) };
     assert!(b.beliefs(at(1_000)).contains(&limit));
     announce_limit(&mut b, None, 2_000);
     assert!(!b.beliefs(at(3_000)).contains(&limit));
@@ -201,11 +201,11 @@
 
 /// Returns a box of a fleet with two data halls of one upstream each.
 fn two_halls(hall: &str) -> Balancer {
-    let mut b = Balancer::new(hall, RULE, 3).with_past(Past::Empty);
+    let mut b = Balancer::new(hall, RULE, 3).with_retry_history(RetryHistory::Empty);
     b.set_services(&[ServiceSpec::builder().name("s").build()], Time::ZERO);
     b.set_upstream(listed("u0", "h", MemberState::Live), Time::ZERO);
     b.set_upstream(listed("u1", "g", MemberState::Live), Time::ZERO);
-    b.set_reach(Reach { boxes: 4, in_touch: true });
+    b.set_fleet_scope(FleetScope { boxes: 4, in_touch: true });
     b.set_halls(&BTreeMap::from([(NameId::of("h"), 3), (NameId::of("g"), 1)]), false);
     b
 }
@@ -225,7 +225,7 @@
     for (hall, part) in [("h", 0.75), ("g", 0.25)] {
         let mut b = two_halls(hall);
         for u in ["u0", "u1"] {
-            let news = News::Limit { upstream: NameId::of(u), rate: Some(8.0) };
+            let news = Update::Limit { upstream: NameId::of(u), rate: Some(8.0) };
             b.heard(NameId(9), news, at(0));
         }
         let got = count_u0(&mut b, 0, 20_000, Some(8.0)) as f64;
@@ -274,7 +274,7 @@
 fn an_isolated_box_keeps_to_a_share() {
     let mut b = balancer(2);
     let hall = BTreeMap::from([(NameId::of("h"), 10)]);
-    b.set_reach(Reach { boxes: 10, in_touch: false });
+    b.set_fleet_scope(FleetScope { boxes: 10, in_touch: false });
     announce_limit(&mut b, Some(10.0), 0);
     b.set_halls(&hall, true);
     let got = count_u0(&mut b, 0, 20_000, Some(10.0));
@@ -296,7 +296,7 @@
     let mut b = balancer(1);
     announce_limit(&mut b, Some(4.0), 0);
     let usual = ask(&b, false);
-    let low = Ask { priority: 2, ..usual };
+    let low = RequestInfo { priority: 2, ..usual };
     let mut served = [0; 2];
     for ms in (0..20_000).step_by(50) {
         for (i, ask) in [low, usual].into_iter().enumerate() {
--- a/crates/honeypulley_policy/tests/balance/open_attempts.rs
+++ b/crates/honeypulley_policy/tests/balance/open_attempts.rs
@@ -1,9 +1,9 @@
 //! Evidence from attempts in flight and load reports, and admission control.
 
 use crate::{ask, balancer, report_load, send};
-use honeypulley_policy::balance::{Balancer, News};
+use honeypulley_policy::balance::{Balancer, Update};
 use honeypulley_policy::belief::Observation;
-use honeypulley_policy::chooser::{Ask, Chooser};
+use honeypulley_policy::chooser::{RequestInfo, RoutingPolicy};
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::router::{Outcome, RefusalKind};
 use honeypulley_policy::time::Time;
@@ -13,7 +13,7 @@
 #[test]
 fn attempts_of_a_peer_in_the_hall_count_as_load() {
     let mut b = balancer(2);
-    let open = News::Open { upstream: NameId::of("u0"), count: 6 };
+    let open = Update::Open { upstream: NameId::of("u0"), count: 6 };
     b.heard(NameId::of("peer"), open, Time::ZERO);
     let picks = send(&mut b, 50, 1, true);
     assert_eq!(picks.get("u0"), None, "{picks:?}");
@@ -38,13 +38,13 @@
     let pick = b.pick(&ask, &[], Time::ZERO).expect("an upstream is available");
     b.finish(pick.attempt, Outcome::Failed, Time::from_millis(1));
     let upstream = NameId::of("u0");
-    let announced = b.take_news();
+    let announced = b.take_updates();
     assert_eq!(
         announced,
         [
-            News::Open { upstream, count: 1 },
-            News::Ended { upstream, count: 0, served: false, far: None, ago: Duration::ZERO },
-            News::Seen { upstream, what: Observation::Failure },
+            Update::Open { upstream, count: 1 },
+            Update::Ended { upstream, count: 0, served: false, far: None, ago: Duration::ZERO },
+            Update::Seen { upstream, what: Observation::Failure },
         ]
     );
 }
@@ -64,12 +64,12 @@
         rows.iter().find(|r| r.upstream == "u0").expect("upstream is listed").sick
     };
     let before = sick(&b, 100);
-    b.heard(peer, News::Open { upstream, count: 2 }, Time::from_millis(10));
+    b.heard(peer, Update::Open { upstream, count: 2 }, Time::from_millis(10));
     if let Some(what) = observation {
-        b.heard(peer, News::Seen { upstream, what }, Time::from_millis(50));
+        b.heard(peer, Update::Seen { upstream, what }, Time::from_millis(50));
     }
     let served = observation.is_none();
-    let ended = News::Ended { upstream, count: 0, served, far: None, ago: Duration::ZERO };
+    let ended = Update::Ended { upstream, count: 0, served, far: None, ago: Duration::ZERO };
     b.heard(peer, ended, Time::from_millis(100));
     assert_eq!(sick(&b, 100) < before, is_raised);
 }
@@ -82,7 +82,7 @@
     let pick = b.pick(&ask, &[], Time::ZERO).expect("an upstream is available");
     b.remove_upstream("u0");
     let later = Time::from_millis(900);
-    b.still_open(pick.attempt, later);
+    b.is_in_flight(pick.attempt, later);
     assert_eq!(b.hedge(&ask, pick.attempt, later), None);
     b.finish(pick.attempt, Outcome::Abandoned, later);
 }
@@ -96,9 +96,9 @@
     let mut b = balancer(2);
     send(&mut b, 200, 10, true);
     let ask = ask(&b, true);
-    let first = b.look_after(&ask, Duration::ZERO);
+    let first = b.recheck_delay(&ask, Duration::ZERO);
     let early = first - Duration::from_millis(1);
-    let next = b.look_after(&ask, early);
+    let next = b.recheck_delay(&ask, early);
     assert!(next <= Duration::from_millis(10), "{next:?} after {early:?}");
 }
 
@@ -106,7 +106,7 @@
 fn announce_queue(b: &mut Balancer, upstreams: usize, count: u16, at: Time) {
     for i in 0..upstreams {
         let upstream = NameId::of(&format!("u{i}"));
-        b.heard(NameId::of("peer"), News::Open { upstream, count }, at);
+        b.heard(NameId::of("peer"), Update::Open { upstream, count }, at);
     }
 }
 
@@ -146,7 +146,7 @@
 #[test]
 fn a_request_without_queueing_is_sent_however_short_its_time_limit() {
     let mut b = balancer(2);
-    let ask = Ask { left: Some(Duration::from_millis(100)), ..ask(&b, true) };
+    let ask = RequestInfo { left: Some(Duration::from_millis(100)), ..ask(&b, true) };
     assert!(b.pick(&ask, &[], Time::ZERO).is_ok());
 }
 
@@ -162,8 +162,8 @@
     b.finish(pick.attempt, Outcome::Whole, now);
     let upstream = NameId::of("u0");
     let ago = Duration::ZERO;
-    let announced = News::Ended { upstream, count: 0, served: true, far: Some(3), ago };
-    assert!(b.take_news().contains(&announced));
+    let announced = Update::Ended { upstream, count: 0, served: true, far: Some(3), ago };
+    assert!(b.take_updates().contains(&announced));
     let mut other = balancer(1);
     other.heard(NameId::of("peer"), announced, now);
     let pick = other.pick(&ask, &[], now).expect("an upstream is available");
@@ -185,11 +185,11 @@
         let mut b = balancer(2);
         for i in 0..30 {
             let what = usual.unwrap_or(Observation::Success);
-            let seen = News::Seen { upstream: NameId::of("u1"), what };
+            let seen = Update::Seen { upstream: NameId::of("u1"), what };
             b.heard(NameId::of("other"), seen, Time::from_millis(i));
         }
         let upstream = NameId::of("u0");
-        let open = News::Open { upstream, count: 1 };
+        let open = Update::Open { upstream, count: 1 };
         b.heard(NameId::of("peer"), open, Time::from_millis(100));
         let rows = b.status(Time::from_millis(101));
         let ask = ask(&b, true);
--- a/crates/honeypulley_policy/tests/balance/signals.rs
+++ b/crates/honeypulley_policy/tests/balance/signals.rs
@@ -1,8 +1,8 @@
 //! Signals that upstreams send in their answers, and how long they apply.
 
 use super::{ask, balancer, listed, send};
-use honeypulley_policy::balance::{Balancer, Listed, News};
-use honeypulley_policy::chooser::Chooser;
+use honeypulley_policy::balance::{Balancer, Update, UpstreamEntry};
+use honeypulley_policy::chooser::RoutingPolicy;
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::router::{Outcome, Pick, RefusalKind};
 use honeypulley_policy::signals::Signals;
@@ -46,19 +46,19 @@
 #[test]
 fn an_announced_shutdown_ends_new_requests_at_once_and_is_broadcast_once() {
     let mut b = balancer(3);
-    b.take_news();
+    b.take_updates();
     announce_shutdown(&mut b, 0);
-    let leaving = News::Leaving { upstream: NameId::of("u0") };
-    let news = b.take_news();
+    let leaving = Update::Leaving { upstream: NameId::of("u0") };
+    let news = b.take_updates();
     assert!(news.contains(&leaving) && !leaving.is_for_hall(), "{news:?}");
     assert_eq!(sent_to_u0(&mut b, 10), 0);
-    assert!(!b.take_news().contains(&leaving));
+    assert!(!b.take_updates().contains(&leaving));
 }
 
 #[test]
 fn a_peer_that_receives_the_announcement_sends_nothing_either() {
     let mut b = balancer(3);
-    b.heard(NameId(9), News::Leaving { upstream: NameId::of("u0") }, at(0));
+    b.heard(NameId(9), Update::Leaving { upstream: NameId::of("u0") }, at(0));
     assert_eq!(sent_to_u0(&mut b, 10), 0);
 }
 
@@ -87,7 +87,7 @@
 #[test]
 fn an_announcement_before_the_list_entry_applies() {
     let mut b = balancer(2);
-    b.heard(NameId(9), News::Leaving { upstream: NameId::of("u7") }, at(0));
+    b.heard(NameId(9), Update::Leaving { upstream: NameId::of("u7") }, at(0));
     b.set_upstream(listed("u7", "h", MemberState::Live), at(100));
     assert_eq!(send(&mut b, 200, 200, true).get("u7"), None);
 }
@@ -96,7 +96,7 @@
 fn a_restart_clears_an_announced_shutdown() {
     let mut b = balancer(3);
     announce_shutdown(&mut b, 0);
-    let restarted = Listed { born: Some(77), ..listed("u0", "h", MemberState::Live) };
+    let restarted = UpstreamEntry { born: Some(77), ..listed("u0", "h", MemberState::Live) };
     b.set_upstream(restarted, at(100));
     assert!(sent_to_u0(&mut b, 200) > 30, "a third of the requests");
 }
@@ -115,7 +115,7 @@
 fn a_box_that_starts_receives_the_announcements() {
     let mut b = balancer(3);
     announce_shutdown(&mut b, 0);
-    let leaving = News::Leaving { upstream: NameId::of("u0") };
+    let leaving = Update::Leaving { upstream: NameId::of("u0") };
     assert!(b.beliefs(at(10)).contains(&leaving));
     // From here on the list shows it.
     b.set_upstream(listed("u0", "h", MemberState::Leaving), at(20));
@@ -224,7 +224,10 @@
     b.set_upstream(listed("u0", "h", MemberState::Live), at(100));
     assert_eq!(count_u0(&mut b, true, (100, 3_000)), 0);
     reject(&mut b, 4_000, 3_000);
-    b.set_upstream(Listed { born: Some(7), ..listed("u0", "h", MemberState::Live) }, at(4_100));
+    b.set_upstream(
+        UpstreamEntry { born: Some(7), ..listed("u0", "h", MemberState::Live) },
+        at(4_100),
+    );
     assert!(count_u0(&mut b, true, (4_200, 5_000)) > 0);
 }
 
@@ -232,11 +235,11 @@
 #[test]
 fn a_backoff_is_not_broadcast() {
     let mut b = balancer(1);
-    b.take_news();
+    b.take_updates();
     let p = pick(&mut b, "u0", 0);
-    b.take_news();
+    b.take_updates();
     b.signalled(p.attempt, &backoff(3_000), at(0));
-    assert!(b.take_news().is_empty());
+    assert!(b.take_updates().is_empty());
 }
 
 #[test]
@@ -255,9 +258,9 @@
     let [p, q] = [pick(&mut b, "u0", 0), pick(&mut b, "u1", 0)];
     b.remove_upstream("u0");
     b.remove_upstream("u1");
-    b.take_news();
+    b.take_updates();
     assert!(b.signalled(p.attempt, &LEAVING, at(10)).leaving);
-    assert!(b.take_news().contains(&News::Leaving { upstream: NameId::of("u0") }));
+    assert!(b.take_updates().contains(&Update::Leaving { upstream: NameId::of("u0") }));
     assert!(b.signalled(q.attempt, &backoff(3_000), at(10)).backoff);
     for name in ["u0", "u1"] {
         b.set_upstream(listed(name, "h", MemberState::Live), at(100));
--- a/crates/honeypulley_policy/tests/floor.rs
+++ b/crates/honeypulley_policy/tests/floor.rs
@@ -3,8 +3,8 @@
 //! The boxes of one simulated data hall exchange their news without delay. The simulation uses no
 //! sockets and no clock, so it gives the same result in each run.
 
-use honeypulley_policy::balance::{Balancer, Listed, Reach, RetryRule};
-use honeypulley_policy::chooser::{Ask, Chooser};
+use honeypulley_policy::balance::{Balancer, FleetScope, RetryRule, UpstreamEntry};
+use honeypulley_policy::chooser::{RequestInfo, RoutingPolicy};
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::router::{AttemptKey, Outcome};
 use honeypulley_policy::spec::{Member, MemberState, ServiceSpec};
@@ -75,11 +75,11 @@
         let b = &mut self.boxes[from];
         let service = b.service("s").expect("service is configured");
         b.arrived(service, at);
-        let ask = Ask {
+        let ask = RequestInfo {
             service,
             repeatable,
             priority: 0,
-            bulky: false,
+            large_response: false,
             aim: Some(Duration::from_millis(800)),
             left: Some(Duration::from_millis(TIMEOUT_MS)),
             route: NameId::of("r"),
@@ -104,7 +104,7 @@
         for w in &self.pending {
             let b = &mut self.boxes[w.from];
             if now < w.ends {
-                b.still_open(w.key, at);
+                b.is_in_flight(w.key, at);
                 continue;
             }
             if w.outcome == Outcome::Whole {
@@ -114,7 +114,7 @@
         }
         self.pending.retain(|w| now < w.ends);
         for from in 0..self.boxes.len() {
-            let news = self.boxes[from].take_news();
+            let news = self.boxes[from].take_updates();
             let sender = NameId::of(&from.to_string());
             for (to, b) in self.boxes.iter_mut().enumerate() {
                 if to != from {
@@ -140,7 +140,7 @@
     let rule = RetryRule { ratio: 0.2, slack: 58.0, window: Duration::from_secs(10) };
     let mut b = Balancer::new("h", rule, seed);
     b.set_services(&[ServiceSpec::builder().name("s").build()], Time::ZERO);
-    b.set_reach(Reach { boxes, in_touch: true });
+    b.set_fleet_scope(FleetScope { boxes, in_touch: true });
     for i in 0..upstreams {
         let member = Member {
             name: name(i),
@@ -149,7 +149,10 @@
             hall: "h".to_owned(),
             state: MemberState::Live,
         };
-        b.set_upstream(Listed { member, slots: 2, cold: Duration::ZERO, born: None }, Time::ZERO);
+        b.set_upstream(
+            UpstreamEntry { member, slots: 2, cold: Duration::ZERO, born: None },
+            Time::ZERO,
+        );
     }
     b
 }
--- a/crates/honeypulley_policy/tests/limits/strategies.rs
+++ b/crates/honeypulley_policy/tests/limits/ways.rs
@@ -1,9 +1,9 @@
 //! Strategies for fleet-wide rate limits: the one in use, and alternatives for comparison.
 
 use crate::fleet::{BoxId, Fleet, Message};
-use honeypulley_policy::balance::{News, Past};
+use honeypulley_policy::balance::{RetryHistory, Update};
 use honeypulley_policy::collector::NameId;
-use honeypulley_policy::fleet_limits::{FleetLimits, LimitRule, RateLimit, Scope};
+use honeypulley_policy::fleet_limits::{FleetRateLimiter, LimitRule, RateLimit, Scope};
 use honeypulley_policy::placement::weight;
 use honeypulley_policy::time::Time;
 use std::time::Duration;
@@ -26,12 +26,18 @@
 /// Strategy in use: admissions are announced within a hall, and sums between halls.
 pub struct Told {
     this_box: BoxId,
-    limits: FleetLimits,
+    limits: FleetRateLimiter,
 }
 
 impl Told {
-    pub fn new(this_box: BoxId, fleet: &Fleet, limit: RateLimit, past: Past, now: Time) -> Self {
-        let mut limits = FleetLimits::new(
+    pub fn new(
+        this_box: BoxId,
+        fleet: &Fleet,
+        limit: RateLimit,
+        past: RetryHistory,
+        now: Time,
+    ) -> Self {
+        let mut limits = FleetRateLimiter::new(
             &fleet.hall_name(this_box),
             LimitRule::default(),
             past,
@@ -53,9 +59,9 @@
                 self.limits.tell(id, rank, now);
             }
         }
-        for news in self.limits.take_news() {
+        for news in self.limits.take_updates() {
             let to = match news {
-                News::Admitted { .. } => fleet.hall_peers(self.this_box),
+                Update::Admitted { .. } => fleet.hall_peers(self.this_box),
                 _ => fleet.others(self.this_box),
             };
             out.extend(to.map(|to| Message { from: self.this_box, to, news }));
@@ -75,11 +81,11 @@
         let from = fleet.id(m.from);
         self.set_scope(fleet, now);
         match m.news {
-            News::Admitted { subject, sum } => {
-                self.limits.heard_box(from, subject, sum, now);
+            Update::Admitted { subject, sum } => {
+                self.limits.apply_box_count(from, subject, sum, now);
             }
-            News::HallAdmitted { subject, count } => {
-                self.limits.heard_hall(from, subject, count, now);
+            Update::HallAdmitted { subject, count } => {
+                self.limits.apply_hall_count(from, subject, count, now);
             }
             _ => {}
         }
@@ -163,7 +169,7 @@
             return;
         }
         self.requested_at = Some(now);
-        let news = News::Admitted { subject: organisation(), sum: 0 };
+        let news = Update::Admitted { subject: organisation(), sum: 0 };
         out.push(Message { from: self.this_box, to: fleet.token_holder(now), news });
     }
 }
@@ -182,13 +188,13 @@
     }
 
     fn receive(&mut self, fleet: &Fleet, m: &Message, now: Time, out: &mut Vec<Message>) {
-        let News::Admitted { sum, .. } = m.news else { return };
+        let Update::Admitted { sum, .. } = m.news else { return };
         if sum > 0 {
             self.tokens += sum;
             self.requested_at = None;
         } else if fleet.token_holder(now) == self.this_box {
             let granted = (0..BATCH).take_while(|_| self.bucket.take(1.0, now)).count() as u16;
-            let news = News::Admitted { subject: organisation(), sum: granted };
+            let news = Update::Admitted { subject: organisation(), sum: granted };
             if granted > 0 {
                 out.push(Message { from: self.this_box, to: m.from, news });
             }
@@ -241,12 +247,18 @@
 pub struct Hall {
     this_box: BoxId,
     share: HallShare,
-    limits: FleetLimits,
+    limits: FleetRateLimiter,
 }
 
 impl Hall {
-    pub fn new(this_box: BoxId, fleet: &Fleet, share: HallShare, past: Past, now: Time) -> Self {
-        let mut limits = FleetLimits::new(
+    pub fn new(
+        this_box: BoxId,
+        fleet: &Fleet,
+        share: HallShare,
+        past: RetryHistory,
+        now: Time,
+    ) -> Self {
+        let mut limits = FleetRateLimiter::new(
             &fleet.hall_name(this_box),
             UPSTREAM_RULE,
             past,
@@ -274,7 +286,7 @@
         }
         self.set_scope(fleet, now);
         let admitted = self.limits.admit(organisation(), now).is_ok();
-        for news in self.limits.take_news() {
+        for news in self.limits.take_updates() {
             out.extend(fleet.hall_peers(self.this_box).map(|to| Message {
                 from: self.this_box,
                 to,
@@ -286,8 +298,8 @@
 
     fn receive(&mut self, fleet: &Fleet, m: &Message, now: Time, _: &mut Vec<Message>) {
         self.set_scope(fleet, now);
-        if let News::Admitted { subject, sum } = m.news {
-            self.limits.heard_box(fleet.id(m.from), subject, sum, now);
+        if let Update::Admitted { subject, sum } = m.news {
+            self.limits.apply_box_count(fleet.id(m.from), subject, sum, now);
         }
     }
 
--- a/crates/honeypulley_proxy/src/race.rs
+++ b/crates/honeypulley_proxy/src/race.rs
@@ -6,8 +6,8 @@
 use crate::gate::{Gate, Routed};
 use futures::future::{AbortHandle, Abortable, BoxFuture};
 use futures::stream::{FuturesUnordered, StreamExt};
-use honeypulley_policy::balance::Resend;
-use honeypulley_policy::chooser::Ask;
+use honeypulley_policy::balance::RetryReason;
+use honeypulley_policy::chooser::RequestInfo;
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::quarantine::{End, Restriction};
 use honeypulley_policy::router::{AttemptKey, Refusal, UpstreamKey};
@@ -146,7 +146,7 @@
         let is_last = progress.maybe_ran() + 1 >= self.routed.attempts;
         let left = self.left();
         let repeatable = self.routed.ask.repeatable && !is_last;
-        let ask = Ask { repeatable, left, ..self.routed.ask };
+        let ask = RequestInfo { repeatable, left, ..self.routed.ask };
         let pick = match policy.pick(&ask, &progress.attempted, now) {
             Ok(p) => p,
             Err(r) => {
@@ -201,7 +201,7 @@
     fn next_check(&self, progress: &Progress) -> Option<Time> {
         let policy = self.gate.chooser.lock();
         let now = self.gate.now();
-        let next = |a: &InFlight| now + policy.look_after(&self.routed.ask, now.since(a.began));
+        let next = |a: &InFlight| now + policy.recheck_delay(&self.routed.ask, now.since(a.began));
         progress.in_flight.iter().map(next).min()
     }
 
@@ -211,14 +211,14 @@
         self.cancel_lost(progress);
         let stuck = {
             let mut policy = self.gate.chooser.lock();
-            progress.in_flight.iter().for_each(|a| policy.still_open(a.key, now));
+            progress.in_flight.iter().for_each(|a| policy.is_in_flight(a.key, now));
             let newest = progress.in_flight.last();
             newest.and_then(|a| policy.hedge(&self.routed.ask, a.key, now))
         };
         let Some(stuck) = stuck else { return };
         if self.restriction() == Restriction::Clear
             && self.can_repeat(progress)
-            && self.spend_retry(Resend::Overdue { stuck })
+            && self.spend_retry(RetryReason::Overdue { stuck })
         {
             self.gate.count("attempts.hedged");
             // If there is no other upstream, the first attempt simply continues.
@@ -245,7 +245,7 @@
 
     /// Returns whether a request with a failure answer should be retried on another upstream.
     fn should_retry(&self, progress: &mut Progress) -> bool {
-        self.can_repeat(progress) && self.spend_retry(Resend::Failed)
+        self.can_repeat(progress) && self.spend_retry(RetryReason::Failed)
     }
 
     /// Returns whether the request is repeatable and another attempt can finish in time.
@@ -253,14 +253,15 @@
         let may_repeat = self.routed.ask.repeatable && self.restriction() < Restriction::NoRetry;
         may_repeat
             && self.has_attempts_left(progress)
-            && self.is_in_time()
+            && self.can_meet_deadline()
             && self.has_upstream(progress)
     }
 
     /// Returns whether another upstream is available for the request.
     fn has_upstream(&self, progress: &mut Progress) -> bool {
-        let (ask, now) = (Ask { left: self.left(), ..self.routed.ask }, self.gate.now());
-        let refused = self.gate.chooser.lock().may_send(&ask, &progress.attempted, now).err();
+        let (ask, now) = (RequestInfo { left: self.left(), ..self.routed.ask }, self.gate.now());
+        let refused =
+            self.gate.chooser.lock().check_available(&ask, &progress.attempted, now).err();
         if let Some(r) = refused {
             self.log_refusal("retry", r, None);
             progress.retry_after = Some(r.retry_after);
@@ -273,9 +274,9 @@
         self.gate.suspects.restriction(self.out.same, self.gate.now())
     }
 
-    fn is_in_time(&self) -> bool {
-        let ask = Ask { left: self.left(), ..self.routed.ask };
-        self.gate.chooser.lock().is_in_time(&ask)
+    fn can_meet_deadline(&self) -> bool {
+        let ask = RequestInfo { left: self.left(), ..self.routed.ask };
+        self.gate.chooser.lock().can_meet_deadline(&ask)
     }
 
     /// Returns the time left until the deadline.
@@ -284,7 +285,10 @@
     }
 
     fn should_retry_after(&self, failure: &Failure, progress: &mut Progress) -> bool {
-        if !self.has_attempts_left(progress) || !self.is_in_time() || !self.has_upstream(progress) {
+        if !self.has_attempts_left(progress)
+            || !self.can_meet_deadline()
+            || !self.has_upstream(progress)
+        {
             return false;
         }
         let restriction = self.restriction();
@@ -293,9 +297,11 @@
         match failure {
             // Nothing was sent, so another attempt does not count as a retry.
             Failure::NotSent { .. } => is_safe && !matches!(restriction, Restriction::Held { .. }),
-            Failure::NotRun { .. } => !is_limited && is_safe && self.spend_retry(Resend::Failed),
+            Failure::NotRun { .. } => {
+                !is_limited && is_safe && self.spend_retry(RetryReason::Failed)
+            }
             Failure::Unknown { .. } => {
-                !is_limited && self.routed.ask.repeatable && self.spend_retry(Resend::Failed)
+                !is_limited && self.routed.ask.repeatable && self.spend_retry(RetryReason::Failed)
             }
         }
     }
@@ -306,7 +312,7 @@
             && self.source.is_available()
     }
 
-    fn spend_retry(&self, why: Resend) -> bool {
+    fn spend_retry(&self, why: RetryReason) -> bool {
         let now = self.gate.now();
         let mut policy = self.gate.chooser.lock();
         let spent = policy.spend_retry(self.routed.ask.service, why, now);
