--- a/crates/honeypulley_mesh/src/serving.rs
+++ b/crates/honeypulley_mesh/src/serving.rs
@@ -15,7 +15,7 @@
 use honeypulley_policy::signals::{SignalChanges, Signals};
 use honeypulley_policy::time::Time;
 use honeypulley_proxy::answer::OwnAnswer;
-use honeypulley_proxy::gate::{Belongs, Routed, Routes, Wanted};
+use honeypulley_proxy::gate::{RequestOwner, Routed, Routes, Wanted};
 use honeypulley_proxy::shared::Feeder;
 use http::StatusCode;
 use parking_lot::Mutex;
@@ -226,13 +226,13 @@
             let usage = policy.limits().usage_of(o.id, now);
             return Err(over_limit(wanted.request, o, wait, usage.unwrap_or_default()));
         }
-        let belongs = match (&table.organisations, organisation) {
-            (None, _) => Belongs::Unasked,
-            (Some(_), None) => Belongs::Nobody,
-            (Some(_), Some(o)) => Belongs::To { id: o.id, name: o.name },
+        let owner = match (&table.organisations, organisation) {
+            (None, _) => RequestOwner::NotConfigured,
+            (Some(_), None) => RequestOwner::Public,
+            (Some(_), Some(o)) => RequestOwner::Organisation { id: o.id, name: o.name },
         };
         Ok(Routed {
-            belongs,
+            owner,
             ask: RequestInfo {
                 service,
                 repeatable: route.kind.is_repeatable(),
--- a/crates/honeypulley_proxy/src/dialect.rs
+++ b/crates/honeypulley_proxy/src/dialect.rs
@@ -2,7 +2,7 @@
 //!
 //! The defaults are the product's own; the builder adapts them to other platforms.
 
-use crate::gate::Belongs;
+use crate::gate::RequestOwner;
 use crate::headers;
 use crate::named_limit::{self, InvalidLimit};
 use crate::signals::{self, InvalidBackoff, InvalidShutdown};
@@ -104,14 +104,15 @@
     }
 
     /// Removes the caller's key and sets the organisation that it belongs to.
-    pub fn set_organisation(&self, belongs: &Belongs, h: &mut HeaderMap) {
-        if *belongs == Belongs::Unasked {
+    pub fn set_organisation(&self, owner: &RequestOwner, h: &mut HeaderMap) {
+        if *owner == RequestOwner::NotConfigured {
             return;
         }
         for name in [&self.key, &self.organisation].into_iter().flatten() {
             h.remove(name);
         }
-        if let (Some(header), Belongs::To { name, .. }) = (&self.organisation, belongs) {
+        if let (Some(header), RequestOwner::Organisation { name, .. }) = (&self.organisation, owner)
+        {
             let value =
                 HeaderValue::from_str(name).expect("names are validated with their routing table");
             h.insert(header.clone(), value);
--- a/crates/honeypulley_proxy/src/gate.rs
+++ b/crates/honeypulley_proxy/src/gate.rs
@@ -47,13 +47,13 @@
 
 /// Organisation that a request belongs to, if any.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Belongs {
+pub enum RequestOwner {
     /// The configuration has no organisations, and the callers' headers are forwarded.
-    Unasked,
+    NotConfigured,
     /// The route is open to all callers, and no organisation applies.
-    Nobody,
+    Public,
     /// The organisation that holds the key sent by the caller.
-    To {
+    Organisation {
         /// Identifier in counters and announcements.
         id: NameId,
         /// Name, which is forwarded to upstreams.
@@ -61,13 +61,13 @@
     },
 }
 
-impl Belongs {
+impl RequestOwner {
     /// Returns the organisation's name for the log, or an empty string if there is none.
     #[must_use]
     pub fn name(&self) -> &str {
         match self {
-            Self::To { name, .. } => name,
-            Self::Unasked | Self::Nobody => "",
+            Self::Organisation { name, .. } => name,
+            Self::NotConfigured | Self::Public => "",
         }
     }
 }
@@ -76,7 +76,7 @@
 #[derive(Clone, Debug)]
 pub struct Routed {
     /// Organisation that the request belongs to.
-    pub belongs: Belongs,
+    pub owner: RequestOwner,
     /// Request to the policy for an upstream.
     pub ask: RequestInfo,
     /// Name of the service.
--- a/crates/honeypulley_proxy/src/handler.rs
+++ b/crates/honeypulley_proxy/src/handler.rs
@@ -61,7 +61,7 @@
         let deadline = timeout.map(|d| began + d);
         let on_upgrade = req.extensions_mut().remove::<OnUpgrade>();
         let mut out = self.outgoing(req, &id);
-        dialect.set_organisation(&routed.belongs, &mut out.headers);
+        dialect.set_organisation(&routed.owner, &mut out.headers);
         out.collect = routed.collect && !out.upgrade;
         routed.ask.repeatable &= !out.upgrade;
         let source = read_body(req, routed.body_bytes).await?;
--- a/crates/honeypulley_proxy/src/race.rs
+++ b/crates/honeypulley_proxy/src/race.rs
@@ -166,7 +166,7 @@
         self.gate.count_for("attempts", &[("service", service), ("kind", kind)]);
         log::info!(
             request = self.id.as_str(), same:display = self.out.same.caller,
-            organisation = self.routed.belongs.name(), service,
+            organisation = self.routed.owner.name(), service,
             upstream = to.name.as_str(), reason:debug = pick.reason, version,
             attempts = self.routed.attempts, repeatable = self.routed.ask.repeatable,
             near = known.near, sick = known.sick as f32, path = known.path as f32, busy = known.busy as f32,
--- a/crates/honeypulley_proxy/src/shared.rs
+++ b/crates/honeypulley_proxy/src/shared.rs
@@ -4,7 +4,7 @@
 use crate::callers::CallerLimits;
 use crate::dialect::Dialect;
 use crate::fingerprint::Fingerprinter;
-use crate::gate::{Belongs, Gate, Reuse, Routed, Routes, Wanted, client};
+use crate::gate::{Gate, RequestOwner, Reuse, Routed, Routes, Wanted, client};
 use crate::headers;
 use crate::suspects::LocalSuspects;
 use arc_swap::{ArcSwap, ArcSwapOption};
@@ -284,7 +284,7 @@
         let spec = router.spec(service).expect("found above");
         let repeatable = spec.repeat.allows(is_safe(wanted.method));
         Ok(Routed {
-            belongs: Belongs::Unasked,
+            owner: RequestOwner::NotConfigured,
             ask: RequestInfo {
                 service,
                 repeatable,
--- a/crates/honeypulley_proxy/tests/race/support.rs
+++ b/crates/honeypulley_proxy/tests/race/support.rs
@@ -14,7 +14,7 @@
 use honeypulley_proxy::body::Source;
 use honeypulley_proxy::dialect::Dialect;
 use honeypulley_proxy::fingerprint::Fingerprinter;
-use honeypulley_proxy::gate::{Belongs, Gate, Reuse, Routed, Routes, Wanted, client};
+use honeypulley_proxy::gate::{Gate, RequestOwner, Reuse, Routed, Routes, Wanted, client};
 use honeypulley_proxy::race::Race;
 use honeypulley_proxy::suspects::LocalSuspects;
 use honeypulley_supervisor::clock::Clock;
@@ -87,7 +87,7 @@
         route: NameId::of("r"),
     };
     let routed = Routed {
-        belongs: Belongs::Unasked,
+        owner: RequestOwner::NotConfigured,
         ask,
         service: "s".to_owned(),
         timeout: None,
