--- a/crates/honeypulley_mesh/src/serving.rs
+++ b/crates/honeypulley_mesh/src/serving.rs
@@ -15,7 +15,7 @@
 use honeypulley_policy::signals::{SignalChanges, Signals};
 use honeypulley_policy::time::Time;
 use honeypulley_proxy::answer::OwnAnswer;
-use honeypulley_proxy::gate::{RequestOwner, Routed, Routes, Wanted};
+use honeypulley_proxy::gate::{RequestOwner, RouteDecision, RouteRequest, Routes};
 use honeypulley_proxy::shared::Feeder;
 use http::StatusCode;
 use parking_lot::Mutex;
@@ -203,7 +203,7 @@
         startup.is_pending().then(|| -> BoxFuture<'_, ()> { Box::pin(startup.wait_settled()) })
     }
 
-    fn route(&self, wanted: &Wanted<'_>, now: Time) -> Result<Routed, OwnAnswer> {
+    fn route(&self, wanted: &RouteRequest<'_>, now: Time) -> Result<RouteDecision, OwnAnswer> {
         let Some(table) = self.mesh.in_force.load_full() else {
             return Err(not_ready("no routing table is in force on this box yet".to_owned()));
         };
@@ -231,9 +231,9 @@
             (Some(_), None) => RequestOwner::Public,
             (Some(_), Some(o)) => RequestOwner::Organisation { id: o.id, name: o.name },
         };
-        Ok(Routed {
+        Ok(RouteDecision {
             owner,
-            ask: RequestInfo {
+            info: RequestInfo {
                 service,
                 repeatable: route.kind.is_repeatable(),
                 priority,
@@ -244,10 +244,10 @@
             },
             service: name.to_owned(),
             timeout: route.timeout,
-            attempts: route.attempts,
+            max_attempts: route.attempts,
             version: table.version,
-            collect: true,
-            body_bytes: table.limits.body_bytes,
+            buffered: true,
+            max_body: table.limits.body_bytes,
         })
     }
 }
@@ -257,7 +257,7 @@
     ///
     /// A box that is out of touch with the platform may lack a newer table, so it asks the
     /// caller to retry and does not answer that the route does not exist.
-    fn no_route(&self, wanted: &Wanted<'_>, version: u64, now: Time) -> OwnAnswer {
+    fn no_route(&self, wanted: &RouteRequest<'_>, version: u64, now: Time) -> OwnAnswer {
         let (host, path) = (wanted.host, wanted.path);
         let in_touch = self.mesh.readers().in_touch(now);
         log::info!(
@@ -282,7 +282,7 @@
         &self,
         table: &RouteTable,
         route: &Route,
-        wanted: &Wanted<'_>,
+        wanted: &RouteRequest<'_>,
         now: Time,
     ) -> Result<Option<Organisation>, OwnAnswer> {
         let Some(all) = table.organisations.as_ref().filter(|_| !route.public) else {
--- a/crates/honeypulley_proxy/src/attempt.rs
+++ b/crates/honeypulley_proxy/src/attempt.rs
@@ -30,7 +30,7 @@
     /// Whether the caller requests a connection upgrade.
     pub upgrade: bool,
     /// Whether short answers are buffered before they are forwarded.
-    pub collect: bool,
+    pub buffered: bool,
     /// Fingerprints, which repeats of the request share.
     pub same: Fingerprints,
 }
@@ -165,7 +165,8 @@
         return Err((upstream, f));
     }
     let head = AnswerHead { status: response.status(), headers: response.headers().clone() };
-    let body = if out.collect { read_body(response).await } else { Ok(AnswerBody::Open(response)) };
+    let body =
+        if out.buffered { read_body(response).await } else { Ok(AnswerBody::Open(response)) };
     match body {
         Ok(body) => {
             if matches!(body, AnswerBody::Whole(_)) {
--- a/crates/honeypulley_proxy/src/gate.rs
+++ b/crates/honeypulley_proxy/src/gate.rs
@@ -30,7 +30,7 @@
 
 /// Properties of a request that determine its route.
 #[derive(Clone, Copy, Debug)]
-pub struct Wanted<'a> {
+pub struct RouteRequest<'a> {
     /// Request ID, for logs.
     pub request: &'a str,
     /// Host without its port, in lower case.
@@ -74,23 +74,23 @@
 
 /// Result of routing a request.
 #[derive(Clone, Debug)]
-pub struct Routed {
+pub struct RouteDecision {
     /// Organisation that the request belongs to.
     pub owner: RequestOwner,
     /// Request to the policy for an upstream.
-    pub ask: RequestInfo,
+    pub info: RequestInfo,
     /// Name of the service.
     pub service: String,
     /// Timeout of the request, if the route defines one.
     pub timeout: Option<Duration>,
     /// Maximum number of upstreams that may run the request.
-    pub attempts: usize,
+    pub max_attempts: usize,
     /// Version of the configuration that the route comes from.
     pub version: u64,
     /// Whether short answers are buffered before they are forwarded.
-    pub collect: bool,
+    pub buffered: bool,
     /// Longest accepted body, in bytes.
-    pub body_bytes: u64,
+    pub max_body: u64,
 }
 
 /// Finds the routes of requests.
@@ -104,7 +104,7 @@
     ///
     /// # Errors
     /// Returns the answer for the caller if the request is rejected.
-    fn route(&self, wanted: &Wanted<'_>, now: Time) -> Result<Routed, OwnAnswer>;
+    fn route(&self, wanted: &RouteRequest<'_>, now: Time) -> Result<RouteDecision, OwnAnswer>;
 }
 
 /// Whether connections to upstreams are reused.
--- a/crates/honeypulley_proxy/src/handler.rs
+++ b/crates/honeypulley_proxy/src/handler.rs
@@ -4,7 +4,7 @@
 use crate::attempt::{Answer, AnswerBody, Outgoing};
 use crate::body::{Source, TrackedBody};
 use crate::fingerprint::Identity;
-use crate::gate::{Gate, OpenGuard, Wanted};
+use crate::gate::{Gate, OpenGuard, RouteRequest};
 use crate::headers;
 use crate::race::Race;
 use crate::upgrade;
@@ -46,7 +46,7 @@
         if let Some(settled) = self.gate.routes.settling() {
             settled.await;
         }
-        let wanted = Wanted {
+        let wanted = RouteRequest {
             request: &id,
             host: &host,
             path: req.uri().path(),
@@ -62,9 +62,9 @@
         let on_upgrade = req.extensions_mut().remove::<OnUpgrade>();
         let mut out = self.outgoing(req, &id);
         dialect.set_organisation(&routed.owner, &mut out.headers);
-        out.collect = routed.collect && !out.upgrade;
-        routed.ask.repeatable &= !out.upgrade;
-        let source = read_body(req, routed.body_bytes).await?;
+        out.buffered = routed.buffered && !out.upgrade;
+        routed.info.repeatable &= !out.upgrade;
+        let source = read_body(req, routed.max_body).await?;
         let identity = Identity {
             method: &out.method,
             host: &host,
@@ -172,7 +172,7 @@
             path: path.to_owned(),
             headers: h,
             upgrade: is_upgrade,
-            collect: false,
+            buffered: false,
             same: Fingerprints { caller: Fingerprint(0), content: Fingerprint(0) },
         }
     }
--- a/crates/honeypulley_proxy/src/lib.rs
+++ b/crates/honeypulley_proxy/src/lib.rs
@@ -26,7 +26,7 @@
 pub mod prelude {
     pub use crate::{
         dialect::Dialect,
-        gate::{Gate, Routed, Routes},
+        gate::{Gate, RouteDecision, Routes},
         handler::ProxyHandler,
         shared::{Feed, Shared},
     };
--- a/crates/honeypulley_proxy/src/race.rs
+++ b/crates/honeypulley_proxy/src/race.rs
@@ -3,7 +3,7 @@
 use crate::answer::OwnAnswer;
 use crate::attempt::{Answer, AttemptGuard, Destination, Failure, Outgoing, send};
 use crate::body::Source;
-use crate::gate::{Gate, Routed};
+use crate::gate::{Gate, RouteDecision};
 use futures::future::{AbortHandle, Abortable, BoxFuture};
 use futures::stream::{FuturesUnordered, StreamExt};
 use honeypulley_policy::balance::RetryReason;
@@ -32,7 +32,7 @@
     /// State of the serving path.
     pub gate: Arc<Gate>,
     /// Result of routing.
-    pub routed: Routed,
+    pub routed: RouteDecision,
     /// Request ID, for logs.
     pub id: String,
     /// Request to be sent.
@@ -143,10 +143,10 @@
         let mut policy = self.gate.chooser.lock();
         let now = self.gate.now();
         // The last allowed attempt can't be repeated.
-        let is_last = progress.maybe_ran() + 1 >= self.routed.attempts;
+        let is_last = progress.maybe_ran() + 1 >= self.routed.max_attempts;
         let left = self.left();
-        let repeatable = self.routed.ask.repeatable && !is_last;
-        let ask = RequestInfo { repeatable, left, ..self.routed.ask };
+        let repeatable = self.routed.info.repeatable && !is_last;
+        let ask = RequestInfo { repeatable, left, ..self.routed.info };
         let pick = match policy.pick(&ask, &progress.attempted, now) {
             Ok(p) => p,
             Err(r) => {
@@ -168,7 +168,7 @@
             request = self.id.as_str(), same:display = self.out.same.caller,
             organisation = self.routed.owner.name(), service,
             upstream = to.name.as_str(), reason:debug = pick.reason, version,
-            attempts = self.routed.attempts, repeatable = self.routed.ask.repeatable,
+            attempts = self.routed.max_attempts, repeatable = self.routed.info.repeatable,
             near = known.near, sick = known.sick as f32, path = known.path as f32, busy = known.busy as f32,
             load_age_ms = known.load_age.map(|d| d.as_millis() as u64),
             limit = known.limit.map(|l| l.rate as f32), limit_part = known.limit.map(|l| l.part as f32),
@@ -201,7 +201,7 @@
     fn next_check(&self, progress: &Progress) -> Option<Time> {
         let policy = self.gate.chooser.lock();
         let now = self.gate.now();
-        let next = |a: &InFlight| now + policy.recheck_delay(&self.routed.ask, now.since(a.began));
+        let next = |a: &InFlight| now + policy.recheck_delay(&self.routed.info, now.since(a.began));
         progress.in_flight.iter().map(next).min()
     }
 
@@ -213,7 +213,7 @@
             let mut policy = self.gate.chooser.lock();
             progress.in_flight.iter().for_each(|a| policy.is_in_flight(a.key, now));
             let newest = progress.in_flight.last();
-            newest.and_then(|a| policy.hedge(&self.routed.ask, a.key, now))
+            newest.and_then(|a| policy.hedge(&self.routed.info, a.key, now))
         };
         let Some(stuck) = stuck else { return };
         if self.restriction() == Restriction::Clear
@@ -250,7 +250,7 @@
 
     /// Returns whether the request is repeatable and another attempt can finish in time.
     fn can_repeat(&self, progress: &mut Progress) -> bool {
-        let may_repeat = self.routed.ask.repeatable && self.restriction() < Restriction::NoRetry;
+        let may_repeat = self.routed.info.repeatable && self.restriction() < Restriction::NoRetry;
         may_repeat
             && self.has_attempts_left(progress)
             && self.can_meet_deadline()
@@ -259,7 +259,7 @@
 
     /// Returns whether another upstream is available for the request.
     fn has_upstream(&self, progress: &mut Progress) -> bool {
-        let (ask, now) = (RequestInfo { left: self.left(), ..self.routed.ask }, self.gate.now());
+        let (ask, now) = (RequestInfo { left: self.left(), ..self.routed.info }, self.gate.now());
         let refused =
             self.gate.chooser.lock().check_available(&ask, &progress.attempted, now).err();
         if let Some(r) = refused {
@@ -275,7 +275,7 @@
     }
 
     fn can_meet_deadline(&self) -> bool {
-        let ask = RequestInfo { left: self.left(), ..self.routed.ask };
+        let ask = RequestInfo { left: self.left(), ..self.routed.info };
         self.gate.chooser.lock().can_meet_deadline(&ask)
     }
 
@@ -293,7 +293,7 @@
         }
         let restriction = self.restriction();
         let is_limited = restriction >= Restriction::NoRetry;
-        let is_safe = self.routed.ask.repeatable || progress.unknown_reason.is_none();
+        let is_safe = self.routed.info.repeatable || progress.unknown_reason.is_none();
         match failure {
             // Nothing was sent, so another attempt does not count as a retry.
             Failure::NotSent { .. } => is_safe && !matches!(restriction, Restriction::Held { .. }),
@@ -301,13 +301,13 @@
                 !is_limited && is_safe && self.spend_retry(RetryReason::Failed)
             }
             Failure::Unknown { .. } => {
-                !is_limited && self.routed.ask.repeatable && self.spend_retry(RetryReason::Failed)
+                !is_limited && self.routed.info.repeatable && self.spend_retry(RetryReason::Failed)
             }
         }
     }
 
     fn has_attempts_left(&self, progress: &Progress) -> bool {
-        progress.maybe_ran() < self.routed.attempts
+        progress.maybe_ran() < self.routed.max_attempts
             && progress.not_run <= MAX_NOT_RUN
             && self.source.is_available()
     }
@@ -315,9 +315,9 @@
     fn spend_retry(&self, why: RetryReason) -> bool {
         let now = self.gate.now();
         let mut policy = self.gate.chooser.lock();
-        let spent = policy.spend_retry(self.routed.ask.service, why, now);
+        let spent = policy.spend_retry(self.routed.info.service, why, now);
         if !spent {
-            let known = policy.budget_use(self.routed.ask.service, now);
+            let known = policy.budget_use(self.routed.info.service, now);
             drop(policy);
             self.gate.count_for("retries.denied", &[("service", self.routed.service.as_str())]);
             log::info!(
@@ -334,7 +334,7 @@
         log::info!(
             request = self.id.as_str(), service = self.routed.service.as_str(),
             version = self.routed.version,
-            aim_ms = self.routed.ask.aim.map(|d| d.as_millis() as u64),
+            aim_ms = self.routed.info.aim.map(|d| d.as_millis() as u64),
             expected_ms = expected.map(|d| d.as_millis() as u64);
             "route: {kind} not sent, {}", r.kind
         );
--- a/crates/honeypulley_proxy/src/shared.rs
+++ b/crates/honeypulley_proxy/src/shared.rs
@@ -4,7 +4,7 @@
 use crate::callers::CallerLimits;
 use crate::dialect::Dialect;
 use crate::fingerprint::Fingerprinter;
-use crate::gate::{Gate, RequestOwner, Reuse, Routed, Routes, Wanted, client};
+use crate::gate::{Gate, RequestOwner, Reuse, RouteDecision, RouteRequest, Routes, client};
 use crate::headers;
 use crate::suspects::LocalSuspects;
 use arc_swap::{ArcSwap, ArcSwapOption};
@@ -262,7 +262,7 @@
 }
 
 impl Routes for BundleRoutes {
-    fn route(&self, wanted: &Wanted<'_>, now: Time) -> Result<Routed, OwnAnswer> {
+    fn route(&self, wanted: &RouteRequest<'_>, now: Time) -> Result<RouteDecision, OwnAnswer> {
         let Some(f) = self.in_force.load_full() else {
             return Err(not_ready("no bundle is in force on this box yet".to_owned()));
         };
@@ -283,9 +283,9 @@
         }
         let spec = router.spec(service).expect("found above");
         let repeatable = spec.repeat.allows(is_safe(wanted.method));
-        Ok(Routed {
+        Ok(RouteDecision {
             owner: RequestOwner::NotConfigured,
-            ask: RequestInfo {
+            info: RequestInfo {
                 service,
                 repeatable,
                 priority: 0,
@@ -296,10 +296,10 @@
             },
             service: name.to_owned(),
             timeout: Some(spec.deadline),
-            attempts: MAX_ATTEMPTS,
+            max_attempts: MAX_ATTEMPTS,
             version: bundle,
-            collect: false,
-            body_bytes: u64::MAX,
+            buffered: false,
+            max_body: u64::MAX,
         })
     }
 }
--- a/crates/honeypulley_proxy/tests/race/support.rs
+++ b/crates/honeypulley_proxy/tests/race/support.rs
@@ -14,7 +14,9 @@
 use honeypulley_proxy::body::Source;
 use honeypulley_proxy::dialect::Dialect;
 use honeypulley_proxy::fingerprint::Fingerprinter;
-use honeypulley_proxy::gate::{Gate, RequestOwner, Reuse, Routed, Routes, Wanted, client};
+use honeypulley_proxy::gate::{
+    Gate, RequestOwner, Reuse, RouteDecision, RouteRequest, Routes, client,
+};
 use honeypulley_proxy::race::Race;
 use honeypulley_proxy::suspects::LocalSuspects;
 use honeypulley_supervisor::clock::Clock;
@@ -31,7 +33,7 @@
 struct NoRoutes;
 
 impl Routes for NoRoutes {
-    fn route(&self, _: &Wanted<'_>, _: Time) -> Result<Routed, OwnAnswer> {
+    fn route(&self, _: &RouteRequest<'_>, _: Time) -> Result<RouteDecision, OwnAnswer> {
         unreachable!("tests start the race without routing")
     }
 }
@@ -77,7 +79,7 @@
 
 /// Creates the request, which is not repeatable.
 pub fn race(test: &TestGate, left: Duration) -> Race {
-    let ask = RequestInfo {
+    let info = RequestInfo {
         service: test.service,
         repeatable: false,
         priority: 0,
@@ -86,22 +88,22 @@
         left: None,
         route: NameId::of("r"),
     };
-    let routed = Routed {
+    let routed = RouteDecision {
         owner: RequestOwner::NotConfigured,
-        ask,
+        info,
         service: "s".to_owned(),
         timeout: None,
-        attempts: 1,
+        max_attempts: 1,
         version: 1,
-        collect: false,
-        body_bytes: 1_000,
+        buffered: false,
+        max_body: 1_000,
     };
     let out = Outgoing {
         method: Method::POST,
         path: "/".to_owned(),
         headers: HeaderMap::new(),
         upgrade: false,
-        collect: false,
+        buffered: false,
         same: REQUEST,
     };
     Race {
