--- a/crates/honeypulley_proxy/src/handler.rs
+++ b/crates/honeypulley_proxy/src/handler.rs
@@ -54,17 +54,17 @@
             headers: req.headers(),
             key: dialect.key_of(req.headers()),
         };
-        let mut routed = self.gate.routes.route(&wanted, self.gate.now())?;
+        let mut decision = self.gate.routes.route(&wanted, self.gate.now())?;
         let requested =
             headers::number(req.headers(), &dialect.deadline).map(Duration::from_millis);
-        let timeout = [requested, routed.timeout].into_iter().flatten().min();
+        let timeout = [requested, decision.timeout].into_iter().flatten().min();
         let deadline = timeout.map(|d| began + d);
         let on_upgrade = req.extensions_mut().remove::<OnUpgrade>();
         let mut out = self.outgoing(req, &id);
-        dialect.set_organisation(&routed.owner, &mut out.headers);
-        out.buffered = routed.buffered && !out.upgrade;
-        routed.info.repeatable &= !out.upgrade;
-        let source = read_body(req, routed.max_body).await?;
+        dialect.set_organisation(&decision.owner, &mut out.headers);
+        out.buffered = decision.buffered && !out.upgrade;
+        decision.info.repeatable &= !out.upgrade;
+        let source = read_body(req, decision.max_body).await?;
         let identity = Identity {
             method: &out.method,
             host: &host,
@@ -75,10 +75,10 @@
         out.same = self.gate.fingerprints.of(&identity, &source);
         self.check_hold(&id, out.same)?;
         let read_failed = source.read_failed();
-        let service = routed.service.clone();
+        let service = decision.service.clone();
         let race = Race {
             gate: Arc::clone(&self.gate),
-            routed,
+            decision,
             id: id.clone(),
             out: Arc::new(out),
             source,
--- a/crates/honeypulley_proxy/src/race.rs
+++ b/crates/honeypulley_proxy/src/race.rs
@@ -32,7 +32,7 @@
     /// State of the serving path.
     pub gate: Arc<Gate>,
     /// Result of routing.
-    pub routed: RouteDecision,
+    pub decision: RouteDecision,
     /// Request ID, for logs.
     pub id: String,
     /// Request to be sent.
@@ -139,18 +139,18 @@
         progress: &mut Progress,
         kind: &str,
     ) -> Result<(), Refusal> {
-        let (version, service) = (self.routed.version, self.routed.service.as_str());
+        let (version, service) = (self.decision.version, self.decision.service.as_str());
         let mut policy = self.gate.chooser.lock();
         let now = self.gate.now();
         // The last allowed attempt can't be repeated.
-        let is_last = progress.maybe_ran() + 1 >= self.routed.max_attempts;
+        let is_last = progress.maybe_ran() + 1 >= self.decision.max_attempts;
         let left = self.left();
-        let repeatable = self.routed.info.repeatable && !is_last;
-        let ask = RequestInfo { repeatable, left, ..self.routed.info };
-        let pick = match policy.pick(&ask, &progress.attempted, now) {
+        let repeatable = self.decision.info.repeatable && !is_last;
+        let info = RequestInfo { repeatable, left, ..self.decision.info };
+        let pick = match policy.pick(&info, &progress.attempted, now) {
             Ok(p) => p,
             Err(r) => {
-                let expected = policy.expected(&ask, now);
+                let expected = policy.expected(&info, now);
                 drop(policy);
                 self.log_refusal(kind, r, expected);
                 progress.retry_after = Some(r.retry_after);
@@ -166,9 +166,9 @@
         self.gate.count_for("attempts", &[("service", service), ("kind", kind)]);
         log::info!(
             request = self.id.as_str(), same:display = self.out.same.caller,
-            organisation = self.routed.owner.name(), service,
+            organisation = self.decision.owner.name(), service,
             upstream = to.name.as_str(), reason:debug = pick.reason, version,
-            attempts = self.routed.max_attempts, repeatable = self.routed.info.repeatable,
+            attempts = self.decision.max_attempts, repeatable = self.decision.info.repeatable,
             near = known.near, sick = known.sick as f32, path = known.path as f32, busy = known.busy as f32,
             load_age_ms = known.load_age.map(|d| d.as_millis() as u64),
             limit = known.limit.map(|l| l.rate as f32), limit_part = known.limit.map(|l| l.part as f32),
@@ -201,7 +201,8 @@
     fn next_check(&self, progress: &Progress) -> Option<Time> {
         let policy = self.gate.chooser.lock();
         let now = self.gate.now();
-        let next = |a: &InFlight| now + policy.recheck_delay(&self.routed.info, now.since(a.began));
+        let next =
+            |a: &InFlight| now + policy.recheck_delay(&self.decision.info, now.since(a.began));
         progress.in_flight.iter().map(next).min()
     }
 
@@ -213,7 +214,7 @@
             let mut policy = self.gate.chooser.lock();
             progress.in_flight.iter().for_each(|a| policy.is_in_flight(a.key, now));
             let newest = progress.in_flight.last();
-            newest.and_then(|a| policy.hedge(&self.routed.info, a.key, now))
+            newest.and_then(|a| policy.hedge(&self.decision.info, a.key, now))
         };
         let Some(stuck) = stuck else { return };
         if self.restriction() == Restriction::Clear
@@ -250,7 +251,7 @@
 
     /// Returns whether the request is repeatable and another attempt can finish in time.
     fn can_repeat(&self, progress: &mut Progress) -> bool {
-        let may_repeat = self.routed.info.repeatable && self.restriction() < Restriction::NoRetry;
+        let may_repeat = self.decision.info.repeatable && self.restriction() < Restriction::NoRetry;
         may_repeat
             && self.has_attempts_left(progress)
             && self.can_meet_deadline()
@@ -259,9 +260,10 @@
 
     /// Returns whether another upstream is available for the request.
     fn has_upstream(&self, progress: &mut Progress) -> bool {
-        let (ask, now) = (RequestInfo { left: self.left(), ..self.routed.info }, self.gate.now());
+        let (info, now) =
+            (RequestInfo { left: self.left(), ..self.decision.info }, self.gate.now());
         let refused =
-            self.gate.chooser.lock().check_available(&ask, &progress.attempted, now).err();
+            self.gate.chooser.lock().check_available(&info, &progress.attempted, now).err();
         if let Some(r) = refused {
             self.log_refusal("retry", r, None);
             progress.retry_after = Some(r.retry_after);
@@ -275,8 +277,8 @@
     }
 
     fn can_meet_deadline(&self) -> bool {
-        let ask = RequestInfo { left: self.left(), ..self.routed.info };
-        self.gate.chooser.lock().can_meet_deadline(&ask)
+        let info = RequestInfo { left: self.left(), ..self.decision.info };
+        self.gate.chooser.lock().can_meet_deadline(&info)
     }
 
     /// Returns the time left until the deadline.
@@ -293,7 +295,7 @@
         }
         let restriction = self.restriction();
         let is_limited = restriction >= Restriction::NoRetry;
-        let is_safe = self.routed.info.repeatable || progress.unknown_reason.is_none();
+        let is_safe = self.decision.info.repeatable || progress.unknown_reason.is_none();
         match failure {
             // Nothing was sent, so another attempt does not count as a retry.
             Failure::NotSent { .. } => is_safe && !matches!(restriction, Restriction::Held { .. }),
@@ -301,13 +303,15 @@
                 !is_limited && is_safe && self.spend_retry(RetryReason::Failed)
             }
             Failure::Unknown { .. } => {
-                !is_limited && self.routed.info.repeatable && self.spend_retry(RetryReason::Failed)
+                !is_limited
+                    && self.decision.info.repeatable
+                    && self.spend_retry(RetryReason::Failed)
             }
         }
     }
 
     fn has_attempts_left(&self, progress: &Progress) -> bool {
-        progress.maybe_ran() < self.routed.max_attempts
+        progress.maybe_ran() < self.decision.max_attempts
             && progress.not_run <= MAX_NOT_RUN
             && self.source.is_available()
     }
@@ -315,13 +319,13 @@
     fn spend_retry(&self, why: RetryReason) -> bool {
         let now = self.gate.now();
         let mut policy = self.gate.chooser.lock();
-        let spent = policy.spend_retry(self.routed.info.service, why, now);
+        let spent = policy.spend_retry(self.decision.info.service, why, now);
         if !spent {
-            let known = policy.budget_use(self.routed.info.service, now);
+            let known = policy.budget_use(self.decision.info.service, now);
             drop(policy);
-            self.gate.count_for("retries.denied", &[("service", self.routed.service.as_str())]);
+            self.gate.count_for("retries.denied", &[("service", self.decision.service.as_str())]);
             log::info!(
-                request = self.id.as_str(), service = self.routed.service.as_str(), why:debug = why,
+                request = self.id.as_str(), service = self.decision.service.as_str(), why:debug = why,
                 seen = known.seen, own = known.own, others = known.others, budget = known.budget as f32,
                 past_known = known.past_known;
                 "route: not sent again, the retry budget is spent"
@@ -332,9 +336,9 @@
 
     fn log_refusal(&self, kind: &str, r: Refusal, expected: Option<Duration>) {
         log::info!(
-            request = self.id.as_str(), service = self.routed.service.as_str(),
-            version = self.routed.version,
-            aim_ms = self.routed.info.aim.map(|d| d.as_millis() as u64),
+            request = self.id.as_str(), service = self.decision.service.as_str(),
+            version = self.decision.version,
+            aim_ms = self.decision.info.aim.map(|d| d.as_millis() as u64),
             expected_ms = expected.map(|d| d.as_millis() as u64);
             "route: {kind} not sent, {}", r.kind
         );
@@ -344,7 +348,7 @@
         let policy = self.gate.chooser.lock();
         let upstream = policy.place(answer.guard.upstream).map_or("gone", |p| p.name);
         log::warn!(
-            request = self.id.as_str(), service = self.routed.service.as_str(), upstream,
+            request = self.id.as_str(), service = self.decision.service.as_str(), upstream,
             status = answer.head.status.as_u16();
             "attempt: {upstream} answered with a failure"
         );
@@ -353,7 +357,7 @@
     fn record_failure(&self, upstream: UpstreamKey, failure: &Failure, progress: &mut Progress) {
         let policy = self.gate.chooser.lock();
         let name = policy.place(upstream).map_or("gone", |p| p.name);
-        let (request, service) = (self.id.as_str(), self.routed.service.as_str());
+        let (request, service) = (self.id.as_str(), self.decision.service.as_str());
         let reason = match failure {
             Failure::NotSent { .. } => "not_sent",
             Failure::NotRun { .. } => "not_run",
@@ -407,7 +411,7 @@
         let n = progress.attempted.len();
         let why = format!("the deadline passed with {n} attempt(s) open");
         log::warn!(
-            request = self.id.as_str(), service = self.routed.service.as_str(), attempts = n;
+            request = self.id.as_str(), service = self.decision.service.as_str(), attempts = n;
             "route: given up at its deadline"
         );
         OwnAnswer::unknown(StatusCode::GATEWAY_TIMEOUT, UNKNOWN_RETRY_AFTER, why)
--- a/crates/honeypulley_proxy/tests/race/support.rs
+++ b/crates/honeypulley_proxy/tests/race/support.rs
@@ -88,7 +88,7 @@
         left: None,
         route: NameId::of("r"),
     };
-    let routed = RouteDecision {
+    let decision = RouteDecision {
         owner: RequestOwner::NotConfigured,
         info,
         service: "s".to_owned(),
@@ -108,7 +108,7 @@
     };
     Race {
         gate: Arc::clone(&test.gate),
-        routed,
+        decision,
         id: "r-1".to_owned(),
         out: Arc::new(out),
         source: Source::Buffered(Bytes::new()),
