--- a/crates/honeypulley_mesh/src/serving.rs
+++ b/crates/honeypulley_mesh/src/serving.rs
@@ -198,7 +198,7 @@
 }
 
 impl Routes for TableRoutes {
-    fn settling(&self) -> Option<BoxFuture<'_, ()>> {
+    fn wait_ready(&self) -> Option<BoxFuture<'_, ()>> {
         let startup = &self.mesh.startup;
         startup.is_pending().then(|| -> BoxFuture<'_, ()> { Box::pin(startup.wait_settled()) })
     }
--- a/crates/honeypulley_proxy/src/gate.rs
+++ b/crates/honeypulley_proxy/src/gate.rs
@@ -96,7 +96,7 @@
 /// Finds the routes of requests.
 pub trait Routes: Debug + Send + Sync {
     /// Returns a future to await before routing, if routes are about to become available.
-    fn settling(&self) -> Option<BoxFuture<'_, ()>> {
+    fn wait_ready(&self) -> Option<BoxFuture<'_, ()>> {
         None
     }
 
--- a/crates/honeypulley_proxy/src/handler.rs
+++ b/crates/honeypulley_proxy/src/handler.rs
@@ -43,8 +43,8 @@
         let id = self.request_id(req);
         check_framing(req)?;
         let host = host_of(req)?;
-        if let Some(settled) = self.gate.routes.settling() {
-            settled.await;
+        if let Some(ready) = self.gate.routes.wait_ready() {
+            ready.await;
         }
         let wanted = RouteRequest {
             request: &id,
