--- a/crates/honeypulley_daemon/src/serve.rs
+++ b/crates/honeypulley_daemon/src/serve.rs
@@ -1,7 +1,7 @@
 //! Serves callers, and shuts down once every open session has ended.
 
 use eyre::{Result, WrapErr, eyre};
-use honeypulley_proxy::gate::Gate;
+use honeypulley_proxy::gate::ProxyState;
 use honeypulley_proxy::handler::ProxyHandler;
 use honeypulley_proxy::shared::Feeder;
 use honeypulley_supervisor::tree::{Duty, Shutdown, block_on};
@@ -36,7 +36,7 @@
 #[derive(Debug)]
 pub struct ServeDuty {
     /// State of the serving path.
-    pub gate: Arc<Gate>,
+    pub gate: Arc<ProxyState>,
     /// Applies updates to that state.
     pub feeder: Arc<dyn Feeder>,
     /// Connection limits and shutdown timing.
--- a/crates/honeypulley_proxy/src/attempt.rs
+++ b/crates/honeypulley_proxy/src/attempt.rs
@@ -1,7 +1,7 @@
 //! A single exchange with an upstream.
 
 use crate::dialect::Dialect;
-use crate::gate::Gate;
+use crate::gate::ProxyState;
 use crate::liveness::refuses_connections;
 use crate::signals::{self, ReceivedHead};
 use bytes::{Bytes, BytesMut};
@@ -38,7 +38,7 @@
 /// Reports the outcome of an attempt to the policy when dropped.
 #[derive(Debug)]
 pub struct AttemptGuard {
-    gate: Arc<Gate>,
+    gate: Arc<ProxyState>,
     /// Key of the attempt in the policy.
     pub key: AttemptKey,
     /// Upstream that the attempt is sent to.
@@ -52,7 +52,7 @@
 impl AttemptGuard {
     /// Creates the guard of an attempt that the policy has just opened.
     #[must_use]
-    pub fn new(gate: &Arc<Gate>, pick: Pick, request: Fingerprints) -> Self {
+    pub fn new(gate: &Arc<ProxyState>, pick: Pick, request: Fingerprints) -> Self {
         let (key, upstream, gate) = (pick.attempt, pick.upstream, Arc::clone(gate));
         Self { gate, key, upstream, request, outcome: Outcome::Abandoned, succeeded: false }
     }
@@ -66,7 +66,7 @@
 impl Drop for AttemptGuard {
     fn drop(&mut self) {
         let now = self.gate.now();
-        self.gate.chooser.lock().finish(self.key, self.outcome, now);
+        self.gate.policy.lock().finish(self.key, self.outcome, now);
         if self.succeeded && self.outcome == Outcome::Whole {
             self.gate.suspects.record_success(self.request, now);
         }
@@ -138,7 +138,7 @@
 /// # Errors
 /// Returns a [`Failure`], which was already reported to the policy.
 pub async fn send(
-    gate: Arc<Gate>,
+    gate: Arc<ProxyState>,
     mut guard: AttemptGuard,
     to: Destination,
     out: Arc<Outgoing>,
@@ -190,7 +190,7 @@
 ///
 /// This happens before any retry, so that a request that crashes upstreams is already a suspect
 /// by then. If the upstream still runs, the check costs one round trip.
-async fn record_if_crashed(gate: &Gate, to: &Destination, out: &Outgoing, began: Time) {
+async fn record_if_crashed(gate: &ProxyState, to: &Destination, out: &Outgoing, began: Time) {
     let has_ended = refuses_connections(&to.addr).await;
     let (name, same) = (to.name.as_str(), out.same.caller);
     let state = if has_ended { "has terminated" } else { "still runs" };
@@ -215,7 +215,7 @@
 }
 
 fn build(
-    gate: &Gate,
+    gate: &ProxyState,
     to: &Destination,
     out: &Outgoing,
     body: reqwest::Body,
@@ -251,14 +251,14 @@
 
 /// Checks the head of an answer and reports its signals to the policy.
 fn check_head(
-    gate: &Gate,
+    gate: &ProxyState,
     guard: &mut AttemptGuard,
     (to, out): (&Destination, &Outgoing),
     r: &reqwest::Response,
     id: Option<&HeaderValue>,
 ) -> Result<(), Failure> {
     let (now, h, d) = (gate.now(), r.headers(), &gate.dialect);
-    let mut policy = gate.chooser.lock();
+    let mut policy = gate.policy.lock();
     if id.is_some() && h.get(&d.attempt).is_some_and(|echo| Some(echo) != id) {
         guard.ended(Outcome::Wrong);
         return Err(Failure::Unknown { why: "the answer belongs to another request".to_owned() });
--- a/crates/honeypulley_proxy/src/gate.rs
+++ b/crates/honeypulley_proxy/src/gate.rs
@@ -120,9 +120,9 @@
 ///
 /// Only the serving thread takes the lock of the policy, so it is never contended. The lock
 /// exists because the HTTP library requires `Send`.
-pub struct Gate {
+pub struct ProxyState {
     /// The policy.
-    pub chooser: Arc<Mutex<dyn RoutingPolicy>>,
+    pub policy: Arc<Mutex<dyn RoutingPolicy>>,
     /// Routes in force.
     pub routes: Arc<dyn Routes>,
     /// Header names and formats.
@@ -143,7 +143,7 @@
     pub leaving: Arc<AtomicBool>,
 }
 
-impl Debug for Gate {
+impl Debug for ProxyState {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Gate").field("open", &self.open).finish_non_exhaustive()
     }
@@ -175,7 +175,7 @@
     }
 }
 
-impl Gate {
+impl ProxyState {
     /// Returns the current time.
     #[must_use]
     pub fn now(&self) -> Time {
@@ -206,12 +206,12 @@
 
 /// Counts one open request or session while it lives.
 #[derive(Debug)]
-pub struct OpenGuard(Arc<Gate>);
+pub struct OpenGuard(Arc<ProxyState>);
 
 impl OpenGuard {
     /// Increments the count of open requests and sessions.
     #[must_use]
-    pub fn new(gate: &Arc<Gate>) -> Self {
+    pub fn new(gate: &Arc<ProxyState>) -> Self {
         gate.open.fetch_add(1, Ordering::Relaxed);
         Self(Arc::clone(gate))
     }
--- a/crates/honeypulley_proxy/src/handler.rs
+++ b/crates/honeypulley_proxy/src/handler.rs
@@ -4,7 +4,7 @@
 use crate::attempt::{Answer, AnswerBody, Outgoing};
 use crate::body::{Source, TrackedBody};
 use crate::fingerprint::Identity;
-use crate::gate::{Gate, OpenGuard, RouteRequest};
+use crate::gate::{OpenGuard, ProxyState, RouteRequest};
 use crate::headers;
 use crate::race::Race;
 use crate::upgrade;
@@ -26,13 +26,13 @@
 /// HTTP handler for all requests of callers.
 #[derive(Clone, Debug)]
 pub struct ProxyHandler {
-    gate: Arc<Gate>,
+    gate: Arc<ProxyState>,
 }
 
 impl ProxyHandler {
     /// Creates the handler with the state of the serving path.
     #[must_use]
-    pub const fn new(gate: Arc<Gate>) -> Self {
+    pub const fn new(gate: Arc<ProxyState>) -> Self {
         Self { gate }
     }
 
--- a/crates/honeypulley_proxy/src/lib.rs
+++ b/crates/honeypulley_proxy/src/lib.rs
@@ -26,7 +26,7 @@
 pub mod prelude {
     pub use crate::{
         dialect::Dialect,
-        gate::{Gate, RouteDecision, Routes},
+        gate::{ProxyState, RouteDecision, Routes},
         handler::ProxyHandler,
         shared::{Feed, Shared},
     };
--- a/crates/honeypulley_proxy/src/race.rs
+++ b/crates/honeypulley_proxy/src/race.rs
@@ -3,7 +3,7 @@
 use crate::answer::OwnAnswer;
 use crate::attempt::{Answer, AttemptGuard, Destination, Failure, Outgoing, send};
 use crate::body::Source;
-use crate::gate::{Gate, RouteDecision};
+use crate::gate::{ProxyState, RouteDecision};
 use futures::future::{AbortHandle, Abortable, BoxFuture};
 use futures::stream::{FuturesUnordered, StreamExt};
 use honeypulley_policy::balance::RetryReason;
@@ -30,7 +30,7 @@
 #[derive(Debug)]
 pub struct Race {
     /// State of the serving path.
-    pub gate: Arc<Gate>,
+    pub gate: Arc<ProxyState>,
     /// Result of routing.
     pub decision: RouteDecision,
     /// Request ID, for logs.
@@ -140,7 +140,7 @@
         kind: &str,
     ) -> Result<(), Refusal> {
         let (version, service) = (self.decision.version, self.decision.service.as_str());
-        let mut policy = self.gate.chooser.lock();
+        let mut policy = self.gate.policy.lock();
         let now = self.gate.now();
         // The last allowed attempt can't be repeated.
         let is_last = progress.maybe_ran() + 1 >= self.decision.max_attempts;
@@ -199,7 +199,7 @@
 
     /// Returns the time of the next check of the attempts in flight.
     fn next_check(&self, progress: &Progress) -> Option<Time> {
-        let policy = self.gate.chooser.lock();
+        let policy = self.gate.policy.lock();
         let now = self.gate.now();
         let next =
             |a: &InFlight| now + policy.recheck_delay(&self.decision.info, now.since(a.began));
@@ -211,7 +211,7 @@
         let now = self.gate.now();
         self.cancel_lost(progress);
         let stuck = {
-            let mut policy = self.gate.chooser.lock();
+            let mut policy = self.gate.policy.lock();
             progress.in_flight.iter().for_each(|a| policy.is_in_flight(a.key, now));
             let newest = progress.in_flight.last();
             newest.and_then(|a| policy.hedge(&self.decision.info, a.key, now))
@@ -232,7 +232,7 @@
     /// During a network partition no packet reports the closed connection, so these attempts
     /// would otherwise wait until the deadline.
     fn cancel_lost(&self, progress: &Progress) {
-        let policy = self.gate.chooser.lock();
+        let policy = self.gate.policy.lock();
         let lost: Vec<&InFlight> =
             progress.in_flight.iter().filter(|a| policy.has_restarted(a.upstream)).collect();
         drop(policy);
@@ -263,7 +263,7 @@
         let (info, now) =
             (RequestInfo { left: self.left(), ..self.decision.info }, self.gate.now());
         let refused =
-            self.gate.chooser.lock().check_available(&info, &progress.attempted, now).err();
+            self.gate.policy.lock().check_available(&info, &progress.attempted, now).err();
         if let Some(r) = refused {
             self.log_refusal("retry", r, None);
             progress.retry_after = Some(r.retry_after);
@@ -278,7 +278,7 @@
 
     fn can_meet_deadline(&self) -> bool {
         let info = RequestInfo { left: self.left(), ..self.decision.info };
-        self.gate.chooser.lock().can_meet_deadline(&info)
+        self.gate.policy.lock().can_meet_deadline(&info)
     }
 
     /// Returns the time left until the deadline.
@@ -318,7 +318,7 @@
 
     fn spend_retry(&self, why: RetryReason) -> bool {
         let now = self.gate.now();
-        let mut policy = self.gate.chooser.lock();
+        let mut policy = self.gate.policy.lock();
         let spent = policy.spend_retry(self.decision.info.service, why, now);
         if !spent {
             let known = policy.budget_use(self.decision.info.service, now);
@@ -345,7 +345,7 @@
     }
 
     fn log_server_error(&self, answer: &Answer) {
-        let policy = self.gate.chooser.lock();
+        let policy = self.gate.policy.lock();
         let upstream = policy.place(answer.guard.upstream).map_or("gone", |p| p.name);
         log::warn!(
             request = self.id.as_str(), service = self.decision.service.as_str(), upstream,
@@ -355,7 +355,7 @@
     }
 
     fn record_failure(&self, upstream: UpstreamKey, failure: &Failure, progress: &mut Progress) {
-        let policy = self.gate.chooser.lock();
+        let policy = self.gate.policy.lock();
         let name = policy.place(upstream).map_or("gone", |p| p.name);
         let (request, service) = (self.id.as_str(), self.decision.service.as_str());
         let reason = match failure {
--- a/crates/honeypulley_proxy/src/shared.rs
+++ b/crates/honeypulley_proxy/src/shared.rs
@@ -4,7 +4,7 @@
 use crate::callers::CallerLimits;
 use crate::dialect::Dialect;
 use crate::fingerprint::Fingerprinter;
-use crate::gate::{Gate, RequestOwner, Reuse, RouteDecision, RouteRequest, Routes, client};
+use crate::gate::{ProxyState, RequestOwner, Reuse, RouteDecision, RouteRequest, Routes, client};
 use crate::headers;
 use crate::suspects::LocalSuspects;
 use arc_swap::{ArcSwap, ArcSwapOption};
@@ -98,7 +98,7 @@
 /// State of the serving thread, configured by the product's own bundles and lists.
 pub struct Shared {
     /// State of the serving path.
-    pub gate: Arc<Gate>,
+    pub gate: Arc<ProxyState>,
     /// Routing state, which is also the policy of the serving path.
     pub router: Arc<Mutex<Router>>,
     /// Ring buffers to the other duties.
@@ -140,8 +140,8 @@
             boxes: AtomicUsize::new(1),
             dialect: dialect.clone(),
         });
-        let gate = Gate {
-            chooser: Arc::<Mutex<Router>>::clone(&router),
+        let gate = ProxyState {
+            policy: Arc::<Mutex<Router>>::clone(&router),
             routes: Arc::<BundleRoutes>::clone(&routes),
             dialect,
             fingerprints,
--- a/crates/honeypulley_proxy/src/signals/record.rs
+++ b/crates/honeypulley_proxy/src/signals/record.rs
@@ -2,7 +2,7 @@
 
 use super::InvalidSignal;
 use crate::dialect::Dialect;
-use crate::gate::Gate;
+use crate::gate::ProxyState;
 use honeypulley_policy::chooser::RoutingPolicy;
 use honeypulley_policy::router::AttemptKey;
 use honeypulley_policy::signals::Signals;
@@ -49,7 +49,7 @@
 
 /// Records the signals of an answer's head.
 pub(crate) fn record(
-    gate: &Gate,
+    gate: &ProxyState,
     policy: &mut dyn RoutingPolicy,
     head: &ReceivedHead<'_>,
     now: Time,
@@ -89,14 +89,14 @@
 ///
 /// Only a verified success withdraws a limit. A truncated answer or a failure may have been
 /// produced by something other than the upstream.
-pub(crate) fn record_complete(gate: &Gate, head: &ReceivedHead<'_>) {
+pub(crate) fn record_complete(gate: &ProxyState, head: &ReceivedHead<'_>) {
     let d = &gate.dialect;
     let is_verified = d.proof.as_ref().is_none_or(|p| head.headers.contains_key(p));
     let is_authoritative = is_verified && head.status.is_success();
     if d.limit.is_none() || !is_authoritative || d.limit(head.headers) != Ok(None) {
         return;
     }
-    if gate.chooser.lock().clear_limit(head.attempt) {
+    if gate.policy.lock().clear_limit(head.attempt) {
         let upstream = head.from;
         log::info!(upstream; "attempt: {upstream} no longer advertises a limit");
     }
--- a/crates/honeypulley_proxy/src/upgrade.rs
+++ b/crates/honeypulley_proxy/src/upgrade.rs
@@ -1,7 +1,7 @@
 //! Sessions that switch to another protocol, such as WebSocket.
 
 use crate::attempt::{Answer, AnswerBody};
-use crate::gate::{Gate, OpenGuard};
+use crate::gate::{OpenGuard, ProxyState};
 use honeypulley_policy::router::Outcome;
 use http::{HeaderValue, StatusCode, header};
 use hyper::upgrade::OnUpgrade;
@@ -13,7 +13,13 @@
 ///
 /// The session counts as open until then, because the graceful shutdown of the HTTP server does
 /// not cover it.
-pub fn relay(gate: &Arc<Gate>, caller: OnUpgrade, answer: Answer, id: String, res: &mut Response) {
+pub fn relay(
+    gate: &Arc<ProxyState>,
+    caller: OnUpgrade,
+    answer: Answer,
+    id: String,
+    res: &mut Response,
+) {
     let Answer { head, body, mut guard } = answer;
     let AnswerBody::Open(response) = body else { return };
     let protocol = head.headers.get(header::UPGRADE).cloned();
--- a/crates/honeypulley_proxy/tests/race/budget.rs
+++ b/crates/honeypulley_proxy/tests/race/budget.rs
@@ -23,7 +23,7 @@
 }
 
 fn budget_use(test: &TestGate) -> BudgetUsage {
-    test.gate.chooser.lock().budget_use(test.service, test.gate.now())
+    test.gate.policy.lock().budget_use(test.service, test.gate.now())
 }
 
 /// Guards against charging the retry budget if no upstream is available for the retry.
--- a/crates/honeypulley_proxy/tests/race/support.rs
+++ b/crates/honeypulley_proxy/tests/race/support.rs
@@ -15,7 +15,7 @@
 use honeypulley_proxy::dialect::Dialect;
 use honeypulley_proxy::fingerprint::Fingerprinter;
 use honeypulley_proxy::gate::{
-    Gate, RequestOwner, Reuse, RouteDecision, RouteRequest, Routes, client,
+    ProxyState, RequestOwner, Reuse, RouteDecision, RouteRequest, Routes, client,
 };
 use honeypulley_proxy::race::Race;
 use honeypulley_proxy::suspects::LocalSuspects;
@@ -40,7 +40,7 @@
 
 /// Serving path of a box, and the service of its upstreams.
 pub struct TestGate {
-    pub gate: Arc<Gate>,
+    pub gate: Arc<ProxyState>,
     pub service: ServiceKey,
 }
 
@@ -61,9 +61,9 @@
         balancer.set_upstream(listed, Time::ZERO);
     }
     let service = balancer.service("s").expect("the service was added");
-    let chooser: Arc<Mutex<dyn RoutingPolicy>> = Arc::new(Mutex::new(balancer));
-    let gate = Gate {
-        chooser,
+    let policy: Arc<Mutex<dyn RoutingPolicy>> = Arc::new(Mutex::new(balancer));
+    let gate = ProxyState {
+        policy,
         routes: Arc::new(NoRoutes),
         dialect: Dialect::default(),
         fingerprints: Fingerprinter::new([0; 32]),
