--- a/crates/honeypulley_proxy/src/gate.rs
+++ b/crates/honeypulley_proxy/src/gate.rs
@@ -188,7 +188,7 @@
     }
 
     /// Counts one event with tags.
-    pub fn count_for(&self, name: &str, tags: &[(&str, &str)]) {
+    pub fn count_tagged(&self, name: &str, tags: &[(&str, &str)]) {
         let one = self.metrics.count_with_tags(name, 1);
         tags.iter().fold(one, |m, (k, v)| m.with_tag(k, v)).send();
     }
--- a/crates/honeypulley_proxy/src/handler.rs
+++ b/crates/honeypulley_proxy/src/handler.rs
@@ -121,7 +121,7 @@
     /// Logs and counts an upstream's answer that is forwarded.
     fn record_answer(&self, id: &str, service: &str, status: StatusCode, took: Duration) {
         let outcome = if status.is_server_error() { "failed" } else { "served" };
-        self.gate.count_for("requests.answered", &[("service", service), ("outcome", outcome)]);
+        self.gate.count_tagged("requests.answered", &[("service", service), ("outcome", outcome)]);
         self.gate.time("requests.duration_ms", service, took);
         let level = if status.is_server_error() { log::Level::Warn } else { log::Level::Info };
         log::log!(
@@ -212,7 +212,7 @@
             self.gate.count("requests.refused");
             let request = self.request_id(req);
             let outcome = if own.ran == Ran::NotRun { "refused" } else { "unknown" };
-            self.gate.count_for(
+            self.gate.count_tagged(
                 "requests.own",
                 &[("outcome", outcome), ("status", own.status.as_str())],
             );
--- a/crates/honeypulley_proxy/src/race.rs
+++ b/crates/honeypulley_proxy/src/race.rs
@@ -163,7 +163,7 @@
         let to = Destination { name: location.name.to_owned(), addr: location.addr.to_owned() };
         let known = policy.inputs(pick.upstream, now);
         drop(policy);
-        self.gate.count_for("attempts", &[("service", service), ("kind", kind)]);
+        self.gate.count_tagged("attempts", &[("service", service), ("kind", kind)]);
         log::info!(
             request = self.id.as_str(), same:display = self.out.same.caller,
             organisation = self.decision.owner.name(), service,
@@ -323,7 +323,8 @@
         if !spent {
             let known = policy.budget_use(self.decision.info.service, now);
             drop(policy);
-            self.gate.count_for("retries.denied", &[("service", self.decision.service.as_str())]);
+            self.gate
+                .count_tagged("retries.denied", &[("service", self.decision.service.as_str())]);
             log::info!(
                 request = self.id.as_str(), service = self.decision.service.as_str(), why:debug = why,
                 seen = known.seen, own = known.own, others = known.others, budget = known.budget as f32,
@@ -363,7 +364,7 @@
             Failure::NotRun { .. } => "not_run",
             Failure::Unknown { .. } => "unknown",
         };
-        self.gate.count_for("attempts.failed", &[("service", service), ("reason", reason)]);
+        self.gate.count_tagged("attempts.failed", &[("service", service), ("reason", reason)]);
         match failure {
             Failure::NotSent { why } => {
                 log::warn!(request, service, upstream = name; "attempt: not sent to {name}: {why}");
