--- a/crates/honeypulley_mesh/src/serving.rs
+++ b/crates/honeypulley_mesh/src/serving.rs
@@ -14,7 +14,7 @@
 use honeypulley_policy::routes::{RequestKind, Route, RouteTable};
 use honeypulley_policy::signals::{SignalChanges, Signals};
 use honeypulley_policy::time::Time;
-use honeypulley_proxy::answer::OwnAnswer;
+use honeypulley_proxy::answer::LocalAnswer;
 use honeypulley_proxy::gate::{RequestOwner, RouteDecision, RouteRequest, Routes};
 use honeypulley_proxy::shared::Feeder;
 use http::StatusCode;
@@ -203,7 +203,7 @@
         startup.is_pending().then(|| -> BoxFuture<'_, ()> { Box::pin(startup.wait_settled()) })
     }
 
-    fn route(&self, wanted: &RouteRequest<'_>, now: Time) -> Result<RouteDecision, OwnAnswer> {
+    fn route(&self, wanted: &RouteRequest<'_>, now: Time) -> Result<RouteDecision, LocalAnswer> {
         let Some(table) = self.mesh.in_force.load_full() else {
             return Err(not_ready("no routing table is in force on this box yet".to_owned()));
         };
@@ -257,7 +257,7 @@
     ///
     /// A box that is out of touch with the platform may lack a newer table, so it asks the
     /// caller to retry and does not answer that the route does not exist.
-    fn no_route(&self, wanted: &RouteRequest<'_>, version: u64, now: Time) -> OwnAnswer {
+    fn no_route(&self, wanted: &RouteRequest<'_>, version: u64, now: Time) -> LocalAnswer {
         let (host, path) = (wanted.host, wanted.path);
         let in_touch = self.mesh.readers().in_touch(now);
         log::info!(
@@ -268,7 +268,7 @@
             return not_ready(format!("no route for {host}{path}, and the table may be old"));
         }
         let why = format!("no route for {host}{path}");
-        OwnAnswer::not_run(StatusCode::NOT_FOUND, None, why)
+        LocalAnswer::not_run(StatusCode::NOT_FOUND, None, why)
     }
 
     /// Returns the organisation that holds the caller's key.
@@ -284,7 +284,7 @@
         route: &Route,
         wanted: &RouteRequest<'_>,
         now: Time,
-    ) -> Result<Option<Organisation>, OwnAnswer> {
+    ) -> Result<Option<Organisation>, LocalAnswer> {
         let Some(all) = table.organisations.as_ref().filter(|_| !route.public) else {
             return Ok(None);
         };
@@ -303,12 +303,12 @@
             ));
         }
         let why = if has_key { "no organisation holds this key" } else { "one key is needed" };
-        Err(OwnAnswer::not_run(StatusCode::UNAUTHORIZED, None, why.to_owned()))
+        Err(LocalAnswer::not_run(StatusCode::UNAUTHORIZED, None, why.to_owned()))
     }
 }
 
 /// Refuses a request over its organisation's limit, with a time to retry after.
-fn over_limit(request: &str, o: &Organisation, wait: Duration, usage: LimitUsage) -> OwnAnswer {
+fn over_limit(request: &str, o: &Organisation, wait: Duration, usage: LimitUsage) -> LocalAnswer {
     log::info!(
         request, organisation = &*o.name, rate = usage.rate as f32, level = usage.level as f32,
         hall = usage.hall, others = usage.others,
@@ -319,13 +319,13 @@
     // Jitter, so that callers refused together don't retry together.
     let retry_after = wait.mul_f64(1.0 + fastrand::f64());
     let why = format!("{} sends more than its limit allows", o.name);
-    OwnAnswer::not_run(StatusCode::TOO_MANY_REQUESTS, Some(retry_after), why)
+    LocalAnswer::not_run(StatusCode::TOO_MANY_REQUESTS, Some(retry_after), why)
 }
 
 /// Refuses a request that this box can't route yet, with a time to retry after.
-fn not_ready(why: String) -> OwnAnswer {
+fn not_ready(why: String) -> LocalAnswer {
     let retry_after = NOT_READY_RETRY_AFTER.mul_f64(1.0 + fastrand::f64() / 2.0);
-    OwnAnswer::not_run(StatusCode::SERVICE_UNAVAILABLE, Some(retry_after), why)
+    LocalAnswer::not_run(StatusCode::SERVICE_UNAVAILABLE, Some(retry_after), why)
 }
 
 /// Applies tables, lists and news to the policy on the serving thread.
--- a/crates/honeypulley_proxy/src/answer.rs
+++ b/crates/honeypulley_proxy/src/answer.rs
@@ -10,7 +10,7 @@
 
 /// Whether a request answered by the proxy itself may have been run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ran {
+pub enum Execution {
     /// The request was certainly not run.
     NotRun,
     /// Data was sent to an upstream, and it is unknown whether the request was run.
@@ -19,18 +19,18 @@
 
 /// An answer that the proxy gives instead of an upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct OwnAnswer {
+pub struct LocalAnswer {
     /// Status.
     pub status: StatusCode,
     /// Whether the request may have been run.
-    pub ran: Ran,
+    pub execution: Execution,
     /// Value of `Retry-After`, if a retry makes sense.
     pub retry_after: Option<Duration>,
     /// Reason, as a sentence for humans.
-    pub why: String,
+    pub reason: String,
 }
 
-impl OwnAnswer {
+impl LocalAnswer {
     /// Creates the answer to a request that was rejected before anything was sent.
     #[must_use]
     pub fn refusal(r: Refusal) -> Self {
@@ -47,27 +47,31 @@
 
     /// Creates the answer to a request that was not run.
     #[must_use]
-    pub const fn not_run(status: StatusCode, retry_after: Option<Duration>, why: String) -> Self {
-        Self { status, ran: Ran::NotRun, retry_after, why }
+    pub const fn not_run(
+        status: StatusCode,
+        retry_after: Option<Duration>,
+        reason: String,
+    ) -> Self {
+        Self { status, execution: Execution::NotRun, retry_after, reason }
     }
 
     /// Creates the answer to a request that may have been run.
     #[must_use]
-    pub const fn unknown(status: StatusCode, retry_after: Duration, why: String) -> Self {
-        Self { status, ran: Ran::Unknown, retry_after: Some(retry_after), why }
+    pub const fn unknown(status: StatusCode, retry_after: Duration, reason: String) -> Self {
+        Self { status, execution: Execution::Unknown, retry_after: Some(retry_after), reason }
     }
 
     /// Writes the answer to a response.
     pub fn write(&self, dialect: &Dialect, res: &mut Response) {
         res.status_code(self.status);
-        let outcome = match self.ran {
-            Ran::NotRun => "not-run",
-            Ran::Unknown => "unknown",
+        let outcome = match self.execution {
+            Execution::NotRun => "not-run",
+            Execution::Unknown => "unknown",
         };
         let h = res.headers_mut();
         if dialect.tells_outcome {
             h.insert(headers::OUTCOME, HeaderValue::from_static(outcome));
-            if self.ran == Ran::NotRun {
+            if self.execution == Execution::NotRun {
                 h.insert(dialect.not_run.clone(), HeaderValue::from_static("1"));
             }
         }
@@ -75,7 +79,7 @@
             dialect.set_retry_after(d, h);
         }
         h.insert(header::CONTENT_TYPE, HeaderValue::from_static("text/plain; charset=utf-8"));
-        let text = format!("honeypulley: {} ({outcome})\n", self.why);
+        let text = format!("honeypulley: {} ({outcome})\n", self.reason);
         res.replace_body(ResBody::Once(text.into()));
     }
 }
--- a/crates/honeypulley_proxy/src/gate.rs
+++ b/crates/honeypulley_proxy/src/gate.rs
@@ -1,6 +1,6 @@
 //! State of the serving path, independent of the configuration source and the policy.
 
-use crate::answer::OwnAnswer;
+use crate::answer::LocalAnswer;
 use crate::dialect::Dialect;
 use crate::fingerprint::Fingerprinter;
 use crate::suspects::Suspects;
@@ -104,7 +104,7 @@
     ///
     /// # Errors
     /// Returns the answer for the caller if the request is rejected.
-    fn route(&self, wanted: &RouteRequest<'_>, now: Time) -> Result<RouteDecision, OwnAnswer>;
+    fn route(&self, wanted: &RouteRequest<'_>, now: Time) -> Result<RouteDecision, LocalAnswer>;
 }
 
 /// Whether connections to upstreams are reused.
--- a/crates/honeypulley_proxy/src/handler.rs
+++ b/crates/honeypulley_proxy/src/handler.rs
@@ -1,6 +1,6 @@
 //! Request handler: validates, routes and forwards a request, and returns the answer.
 
-use crate::answer::{OwnAnswer, Ran};
+use crate::answer::{Execution, LocalAnswer};
 use crate::attempt::{Answer, AnswerBody, Outgoing};
 use crate::body::{Source, TrackedBody};
 use crate::fingerprint::Identity;
@@ -36,7 +36,7 @@
         Self { gate }
     }
 
-    async fn run(&self, req: &mut Request, res: &mut Response) -> Result<(), OwnAnswer> {
+    async fn run(&self, req: &mut Request, res: &mut Response) -> Result<(), LocalAnswer> {
         let open = OpenGuard::new(&self.gate);
         let began = self.gate.now();
         let dialect = &self.gate.dialect;
@@ -101,7 +101,7 @@
     }
 
     /// Rejects a request that is held because it crashes upstreams.
-    fn check_hold(&self, id: &str, same: Fingerprints) -> Result<(), OwnAnswer> {
+    fn check_hold(&self, id: &str, same: Fingerprints) -> Result<(), LocalAnswer> {
         let now = self.gate.now();
         let Restriction::Held { left } = self.gate.suspects.restriction(same, now) else {
             return Ok(());
@@ -115,7 +115,7 @@
         );
         let wait = left.mul_f64(1.0 + fastrand::f64() / 10.0);
         let why = "upstreams ended while they ran this request, so it is not sent on".to_owned();
-        Err(OwnAnswer::not_run(StatusCode::SERVICE_UNAVAILABLE, Some(wait), why))
+        Err(LocalAnswer::not_run(StatusCode::SERVICE_UNAVAILABLE, Some(wait), why))
     }
 
     /// Logs and counts an upstream's answer that is forwarded.
@@ -211,15 +211,15 @@
         if let Err(own) = self.run(req, res).await {
             self.gate.count("requests.refused");
             let request = self.request_id(req);
-            let outcome = if own.ran == Ran::NotRun { "refused" } else { "unknown" };
+            let outcome = if own.execution == Execution::NotRun { "refused" } else { "unknown" };
             self.gate.count_tagged(
                 "requests.own",
                 &[("outcome", outcome), ("status", own.status.as_str())],
             );
             log::warn!(
-                request = request.as_str(), status = own.status.as_u16(), outcome:debug = own.ran,
+                request = request.as_str(), status = own.status.as_u16(), outcome:debug = own.execution,
                 retry_after_ms = own.retry_after.map(|d| d.as_millis() as u64);
-                "route: own answer, {}", own.why
+                "route: own answer, {}", own.reason
             );
             own.write(&self.gate.dialect, res);
         }
@@ -232,24 +232,24 @@
 }
 
 /// Reads a caller's body, which is buffered if it is small.
-async fn read_body(req: &mut Request, max_bytes: u64) -> Result<Source, OwnAnswer> {
+async fn read_body(req: &mut Request, max_bytes: u64) -> Result<Source, LocalAnswer> {
     let body = req.take_body();
     if body.size_hint().lower() > max_bytes {
         let why = format!("the body is longer than {max_bytes} bytes");
-        return Err(OwnAnswer::not_run(StatusCode::PAYLOAD_TOO_LARGE, None, why));
+        return Err(LocalAnswer::not_run(StatusCode::PAYLOAD_TOO_LARGE, None, why));
     }
     match tokio::time::timeout(BODY_TIMEOUT, Source::read(body)).await {
         Ok(Ok(s)) => Ok(s),
         Ok(Err(e)) => Err(bad_request(&e)),
         Err(_) => {
             let why = "the body came too slowly".to_owned();
-            Err(OwnAnswer::not_run(StatusCode::REQUEST_TIMEOUT, None, why))
+            Err(LocalAnswer::not_run(StatusCode::REQUEST_TIMEOUT, None, why))
         }
     }
 }
 
 /// Rejects CONNECT, several hosts and ambiguous framing (RFC 9112 section 6.3).
-fn check_framing(req: &Request) -> Result<(), OwnAnswer> {
+fn check_framing(req: &Request) -> Result<(), LocalAnswer> {
     let h = req.headers();
     let lengths = h.get_all(header::CONTENT_LENGTH).iter().count();
     let coded = h.contains_key(header::TRANSFER_ENCODING);
@@ -265,8 +265,8 @@
     Ok(())
 }
 
-fn bad_request(why: &str) -> OwnAnswer {
-    OwnAnswer::not_run(StatusCode::BAD_REQUEST, None, why.to_owned())
+fn bad_request(why: &str) -> LocalAnswer {
+    LocalAnswer::not_run(StatusCode::BAD_REQUEST, None, why.to_owned())
 }
 
 /// Returns the host without its port, in lower case.
@@ -274,7 +274,7 @@
 /// In HTTP/1 the request line takes precedence over the header (RFC 9112 section 3.2.2). In
 /// HTTP/2 every request has an authority, so an additional host header was set on purpose and
 /// takes precedence.
-fn host_of(req: &Request) -> Result<String, OwnAnswer> {
+fn host_of(req: &Request) -> Result<String, LocalAnswer> {
     let value = headers::text(req.headers(), &header::HOST);
     let from_uri = req.uri().host();
     let host = if prefers_request_line(req) { from_uri.or(value) } else { value.or(from_uri) };
--- a/crates/honeypulley_proxy/src/race.rs
+++ b/crates/honeypulley_proxy/src/race.rs
@@ -1,6 +1,6 @@
 //! Runs the attempts of a request: the first one, retries and hedges, within its deadline.
 
-use crate::answer::OwnAnswer;
+use crate::answer::LocalAnswer;
 use crate::attempt::{Answer, AttemptGuard, Destination, Failure, Outgoing, send};
 use crate::body::Source;
 use crate::gate::{ProxyState, RouteDecision};
@@ -84,9 +84,9 @@
     ///
     /// # Errors
     /// Returns the proxy's own answer if there is none from an upstream.
-    pub async fn run(mut self) -> Result<Answer, OwnAnswer> {
+    pub async fn run(mut self) -> Result<Answer, LocalAnswer> {
         let (mut running, mut progress) = (Running::new(), Progress::default());
-        self.start(&mut running, &mut progress, "first").map_err(OwnAnswer::refusal)?;
+        self.start(&mut running, &mut progress, "first").map_err(LocalAnswer::refusal)?;
         loop {
             let check_at = self.next_check(&progress);
             let ended = tokio::select! {
@@ -387,13 +387,13 @@
     }
 
     /// Returns the answer if no attempt is left.
-    fn exhausted(&self, progress: &Progress) -> OwnAnswer {
+    fn exhausted(&self, progress: &Progress) -> LocalAnswer {
         if let Some(why) = &progress.unknown_reason {
-            return OwnAnswer::unknown(StatusCode::BAD_GATEWAY, UNKNOWN_RETRY_AFTER, why.clone());
+            return LocalAnswer::unknown(StatusCode::BAD_GATEWAY, UNKNOWN_RETRY_AFTER, why.clone());
         }
         let default_wait = || NOT_RUN_RETRY_AFTER.mul_f64(1.0 + fastrand::f64() / 2.0);
         let wait = progress.retry_after.unwrap_or_else(default_wait);
-        OwnAnswer::not_run(
+        LocalAnswer::not_run(
             StatusCode::SERVICE_UNAVAILABLE,
             Some(wait),
             progress.last_reason.clone(),
@@ -401,12 +401,12 @@
     }
 
     /// Returns the result at the deadline: an upstream's failure answer, or the proxy's own.
-    fn at_deadline(&self, mut progress: Progress) -> Result<Answer, OwnAnswer> {
+    fn at_deadline(&self, mut progress: Progress) -> Result<Answer, LocalAnswer> {
         let late = self.deadline_exceeded(&progress);
         progress.failure.take().ok_or(late)
     }
 
-    fn deadline_exceeded(&self, progress: &Progress) -> OwnAnswer {
+    fn deadline_exceeded(&self, progress: &Progress) -> LocalAnswer {
         // Attempts in flight are cancelled when their futures are dropped.
         self.gate.count("requests.late");
         let n = progress.attempted.len();
@@ -415,7 +415,7 @@
             request = self.id.as_str(), service = self.decision.service.as_str(), attempts = n;
             "route: given up at its deadline"
         );
-        OwnAnswer::unknown(StatusCode::GATEWAY_TIMEOUT, UNKNOWN_RETRY_AFTER, why)
+        LocalAnswer::unknown(StatusCode::GATEWAY_TIMEOUT, UNKNOWN_RETRY_AFTER, why)
     }
 
     /// Waits until a point in time, or forever if there is none.
--- a/crates/honeypulley_proxy/src/shared.rs
+++ b/crates/honeypulley_proxy/src/shared.rs
@@ -1,6 +1,6 @@
 //! State of the serving thread, and the queues through which other duties update it.
 
-use crate::answer::OwnAnswer;
+use crate::answer::LocalAnswer;
 use crate::callers::CallerLimits;
 use crate::dialect::Dialect;
 use crate::fingerprint::Fingerprinter;
@@ -262,7 +262,7 @@
 }
 
 impl Routes for BundleRoutes {
-    fn route(&self, wanted: &RouteRequest<'_>, now: Time) -> Result<RouteDecision, OwnAnswer> {
+    fn route(&self, wanted: &RouteRequest<'_>, now: Time) -> Result<RouteDecision, LocalAnswer> {
         let Some(f) = self.in_force.load_full() else {
             return Err(not_ready("no bundle is in force on this box yet".to_owned()));
         };
@@ -270,7 +270,7 @@
         let Some(name) = f.bundle.route(host, path) else {
             log::info!(host = host, bundle; "route: refused, no route");
             let why = format!("no route for {host}{path}");
-            return Err(OwnAnswer::not_run(StatusCode::NOT_FOUND, None, why));
+            return Err(LocalAnswer::not_run(StatusCode::NOT_FOUND, None, why));
         };
         self.limit_caller(wanted.headers, &f, now)?;
         let mut router = self.router.lock();
@@ -279,7 +279,7 @@
         };
         if let Err(r) = router.admit(service, now) {
             log::info!(service = name, bundle; "route: refused, {}", r.kind);
-            return Err(OwnAnswer::refusal(r));
+            return Err(LocalAnswer::refusal(r));
         }
         let spec = router.spec(service).expect("found above");
         let repeatable = spec.repeat.allows(is_safe(wanted.method));
@@ -305,7 +305,7 @@
 }
 
 impl BundleRoutes {
-    fn limit_caller(&self, h: &HeaderMap, f: &InForce, now: Time) -> Result<(), OwnAnswer> {
+    fn limit_caller(&self, h: &HeaderMap, f: &InForce, now: Time) -> Result<(), LocalAnswer> {
         let Some(caller) = headers::text(h, &self.dialect.caller) else { return Ok(()) };
         let Some(rate) = f.bundle.caller_rate(caller) else { return Ok(()) };
         let share = rate / self.boxes.load(Ordering::Relaxed) as f64;
@@ -313,13 +313,13 @@
         result.map_err(|wait| {
             log::info!(caller = caller, bundle = f.head.version.0; "route: refused, the caller's rate is used up");
             let retry_after = wait.mul_f64(1.0 + fastrand::f64() / 2.0);
-            OwnAnswer::refusal(Refusal { kind: RefusalKind::CallerRate, retry_after })
+            LocalAnswer::refusal(Refusal { kind: RefusalKind::CallerRate, retry_after })
         })
     }
 }
 
-fn not_ready(why: String) -> OwnAnswer {
-    OwnAnswer::not_run(StatusCode::SERVICE_UNAVAILABLE, Some(NOT_READY_RETRY_AFTER), why)
+fn not_ready(why: String) -> LocalAnswer {
+    LocalAnswer::not_run(StatusCode::SERVICE_UNAVAILABLE, Some(NOT_READY_RETRY_AFTER), why)
 }
 
 const fn is_safe(m: &Method) -> bool {
--- a/crates/honeypulley_proxy/tests/race/support.rs
+++ b/crates/honeypulley_proxy/tests/race/support.rs
@@ -9,7 +9,7 @@
 use honeypulley_policy::router::ServiceKey;
 use honeypulley_policy::spec::{Member, MemberState, ServiceSpec};
 use honeypulley_policy::time::Time;
-use honeypulley_proxy::answer::OwnAnswer;
+use honeypulley_proxy::answer::LocalAnswer;
 use honeypulley_proxy::attempt::Outgoing;
 use honeypulley_proxy::body::Source;
 use honeypulley_proxy::dialect::Dialect;
@@ -33,7 +33,7 @@
 struct NoRoutes;
 
 impl Routes for NoRoutes {
-    fn route(&self, _: &RouteRequest<'_>, _: Time) -> Result<RouteDecision, OwnAnswer> {
+    fn route(&self, _: &RouteRequest<'_>, _: Time) -> Result<RouteDecision, LocalAnswer> {
         unreachable!("tests start the race without routing")
     }
 }
