--- a/crates/honeypulley_daemon/src/admin.rs
+++ b/crates/honeypulley_daemon/src/admin.rs
@@ -3,7 +3,7 @@
 use eyre::{Result, WrapErr};
 use honeypulley_policy::quarantine::{Fingerprint, Hold, Scope};
 use honeypulley_policy::time::Time;
-use honeypulley_proxy::suspects::Suspects;
+use honeypulley_proxy::suspects::RequestQuarantine;
 use honeypulley_supervisor::tree::{Duty, Shutdown, block_on};
 use salvo::async_trait;
 use salvo::conn::tcp::TcpAcceptor;
@@ -26,7 +26,7 @@
     /// Returns the metrics of the box in the text format of Prometheus.
     fn metrics(&self) -> String;
     /// Returns the quarantine of this box, which knows the held requests.
-    fn suspects(&self) -> &dyn Suspects;
+    fn suspects(&self) -> &dyn RequestQuarantine;
     /// Returns the current time.
     fn now(&self) -> Time;
 }
@@ -97,7 +97,7 @@
     async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
         let id: String = req.param("request").unwrap_or_default();
         let request = u64::from_str_radix(&id, 16).map(Fingerprint);
-        let lift = |r| self.0.suspects().lift(r, self.0.now());
+        let lift = |r| self.0.suspects().clear(r, self.0.now());
         if request.is_ok_and(lift) {
             log::info!(same = id.as_str(); "quarantine: hold of request {id} lifted");
             res.render(Text::Plain("lifted\n"));
--- a/crates/honeypulley_daemon/src/context.rs
+++ b/crates/honeypulley_daemon/src/context.rs
@@ -16,7 +16,7 @@
 use honeypulley_policy::revision::Revision;
 use honeypulley_policy::time::Time;
 use honeypulley_proxy::shared::{Members, Shared};
-use honeypulley_proxy::suspects::Suspects;
+use honeypulley_proxy::suspects::RequestQuarantine;
 use honeypulley_supervisor::ring::{OverflowPolicy, Ring};
 use parking_lot::{Mutex, MutexGuard};
 use std::collections::HashMap;
@@ -341,7 +341,7 @@
         String::new()
     }
 
-    fn suspects(&self) -> &dyn Suspects {
+    fn suspects(&self) -> &dyn RequestQuarantine {
         &*self.shared.gate.suspects
     }
 
--- a/crates/honeypulley_mesh/src/admin.rs
+++ b/crates/honeypulley_mesh/src/admin.rs
@@ -3,7 +3,7 @@
 use crate::state::Mesh;
 use honeypulley_daemon::admin::AdminView;
 use honeypulley_policy::time::Time;
-use honeypulley_proxy::suspects::Suspects;
+use honeypulley_proxy::suspects::RequestQuarantine;
 use std::sync::atomic::Ordering;
 
 impl AdminView for Mesh {
@@ -68,7 +68,7 @@
         )
     }
 
-    fn suspects(&self) -> &dyn Suspects {
+    fn suspects(&self) -> &dyn RequestQuarantine {
         self
     }
 
--- a/crates/honeypulley_mesh/src/suspects.rs
+++ b/crates/honeypulley_mesh/src/suspects.rs
@@ -2,9 +2,9 @@
 
 use crate::state::Mesh;
 use honeypulley_policy::quarantine::{Hold, Quarantine, RequestUpdate};
-use honeypulley_proxy::suspects::{Suspects, log_hold};
+use honeypulley_proxy::suspects::{RequestQuarantine, log_hold};
 
-impl Suspects for Mesh {
+impl RequestQuarantine for Mesh {
     fn update(&self, change: &mut dyn FnMut(&mut Quarantine)) {
         let mut quarantine = self.quarantine.lock();
         change(&mut quarantine);
--- a/crates/honeypulley_proxy/src/gate.rs
+++ b/crates/honeypulley_proxy/src/gate.rs
@@ -3,7 +3,7 @@
 use crate::answer::LocalAnswer;
 use crate::dialect::Dialect;
 use crate::fingerprint::Fingerprinter;
-use crate::suspects::Suspects;
+use crate::suspects::RequestQuarantine;
 use cadence::{Counted, CountedExt, StatsdClient, Timed};
 use futures::future::BoxFuture;
 use honeypulley_policy::chooser::{RequestInfo, RoutingPolicy};
@@ -130,7 +130,7 @@
     /// Identifies repeats of a request.
     pub fingerprints: Fingerprinter,
     /// Quarantine of requests that crash upstreams.
-    pub suspects: Arc<dyn Suspects>,
+    pub suspects: Arc<dyn RequestQuarantine>,
     /// HTTP client for upstreams.
     pub client: reqwest::Client,
     /// Clock of the process.
--- a/crates/honeypulley_proxy/src/shared.rs
+++ b/crates/honeypulley_proxy/src/shared.rs
@@ -6,7 +6,7 @@
 use crate::fingerprint::Fingerprinter;
 use crate::gate::{ProxyState, RequestOwner, Reuse, RouteDecision, RouteRequest, Routes, client};
 use crate::headers;
-use crate::suspects::LocalSuspects;
+use crate::suspects::LocalQuarantine;
 use arc_swap::{ArcSwap, ArcSwapOption};
 use async_trait::async_trait;
 use cadence::{Gauged, StatsdClient};
@@ -145,7 +145,7 @@
             routes: Arc::<BundleRoutes>::clone(&routes),
             dialect,
             fingerprints,
-            suspects: Arc::<LocalSuspects>::default(),
+            suspects: Arc::<LocalQuarantine>::default(),
             client: client(source, Reuse::Pooled)?,
             clock,
             metrics,
--- a/crates/honeypulley_proxy/src/suspects.rs
+++ b/crates/honeypulley_proxy/src/suspects.rs
@@ -8,7 +8,7 @@
 use std::fmt::Debug;
 
 /// Access to the quarantine of requests that crash upstreams.
-pub trait Suspects: Debug + Send + Sync {
+pub trait RequestQuarantine: Debug + Send + Sync {
     /// Applies a change, logs the holds that result from it and announces it to peers.
     fn update(&self, change: &mut dyn FnMut(&mut Quarantine));
 
@@ -42,7 +42,7 @@
     }
 
     /// Clears a request on an operator's command; returns whether it was suspected.
-    fn lift(&self, request: Fingerprint, now: Time) -> bool {
+    fn clear(&self, request: Fingerprint, now: Time) -> bool {
         let mut was_suspected = false;
         self.update(&mut |q| was_suspected = q.clear(request, now));
         was_suspected
@@ -51,9 +51,9 @@
 
 /// Quarantine of a single box without peers.
 #[derive(Debug, Default)]
-pub struct LocalSuspects(Mutex<Quarantine>);
+pub struct LocalQuarantine(Mutex<Quarantine>);
 
-impl Suspects for LocalSuspects {
+impl RequestQuarantine for LocalQuarantine {
     fn update(&self, change: &mut dyn FnMut(&mut Quarantine)) {
         let mut quarantine = self.0.lock();
         change(&mut quarantine);
--- a/crates/honeypulley_proxy/tests/race/support.rs
+++ b/crates/honeypulley_proxy/tests/race/support.rs
@@ -18,7 +18,7 @@
     ProxyState, RequestOwner, Reuse, RouteDecision, RouteRequest, Routes, client,
 };
 use honeypulley_proxy::race::Race;
-use honeypulley_proxy::suspects::LocalSuspects;
+use honeypulley_proxy::suspects::LocalQuarantine;
 use honeypulley_supervisor::clock::Clock;
 use http::{HeaderMap, Method};
 use parking_lot::Mutex;
@@ -67,7 +67,7 @@
         routes: Arc::new(NoRoutes),
         dialect: Dialect::default(),
         fingerprints: Fingerprinter::new([0; 32]),
-        suspects: Arc::<LocalSuspects>::default(),
+        suspects: Arc::<LocalQuarantine>::default(),
         client: client(None, Reuse::Fresh).expect("the client can be built"),
         clock,
         metrics: Arc::new(StatsdClient::from_sink("test", NopMetricSink)),
