--- a/crates/honeypulley_proxy/src/answer.rs
+++ b/crates/honeypulley_proxy/src/answer.rs
@@ -69,7 +69,7 @@
             Execution::Unknown => "unknown",
         };
         let h = res.headers_mut();
-        if dialect.tells_outcome {
+        if dialect.reports_outcome {
             h.insert(headers::OUTCOME, HeaderValue::from_static(outcome));
             if self.execution == Execution::NotRun {
                 h.insert(dialect.not_run.clone(), HeaderValue::from_static("1"));
--- a/crates/honeypulley_proxy/src/attempt.rs
+++ b/crates/honeypulley_proxy/src/attempt.rs
@@ -230,10 +230,10 @@
     if let Some(left) = left {
         h.insert(gate.dialect.deadline.clone(), HeaderValue::from(left.as_millis() as u64));
     }
-    if let Some(expect) = &gate.dialect.expect
+    if let Some(expect_instance) = &gate.dialect.expect_instance
         && let Ok(name) = HeaderValue::from_str(&to.name)
     {
-        h.insert(expect.clone(), name);
+        h.insert(expect_instance.clone(), name);
     }
     gate.client.request(out.method.clone(), url).headers(h).body(body)
 }
@@ -278,7 +278,7 @@
         };
         return Err(Failure::NotRun { why: why.to_owned() });
     }
-    if !out.upgrade && !d.unbounded && !is_bounded(r, &out.method) {
+    if !out.upgrade && !d.allows_unframed && !is_bounded(r, &out.method) {
         guard.ended(Outcome::Wrong);
         return Err(Failure::Unknown {
             why: "the answer has no length, so a cut could not be told".to_owned(),
--- a/crates/honeypulley_proxy/src/dialect.rs
+++ b/crates/honeypulley_proxy/src/dialect.rs
@@ -16,7 +16,7 @@
 
 /// Format of a load report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum LoadForm {
+pub enum LoadFormat {
     /// Fraction of busy slots, as a decimal number.
     #[default]
     Share,
@@ -26,7 +26,7 @@
 
 /// Format of `Retry-After`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum RetryForm {
+pub enum RetryFormat {
     /// Whole seconds, with milliseconds in an additional header.
     #[default]
     WholeSeconds,
@@ -57,35 +57,35 @@
     pub load: HeaderName,
     /// Format of the load.
     #[builder(default)]
-    pub load_form: LoadForm,
+    pub load_format: LoadFormat,
     /// On an upstream's answer: its rate limit over all boxes, if supported.
     pub limit: Option<HeaderName>,
     /// On an upstream's answer: the upstream is about to shut down.
     #[builder(default = headers::LEAVING)]
     pub leaving: HeaderName,
     /// On a request: the only instance that may run it, if supported.
-    pub expect: Option<HeaderName>,
+    pub expect_instance: Option<HeaderName>,
     /// On an upstream's success: a header that must be present, if any.
     pub proof: Option<HeaderName>,
     /// Name of the caller, used for its rate limit.
     #[builder(default = headers::CALLER)]
     pub caller: HeaderName,
     /// Key of the caller, which is not forwarded, if organisations are supported.
-    pub key: Option<HeaderName>,
+    pub api_key: Option<HeaderName>,
     /// Organisation as forwarded to upstreams; values sent by callers are removed.
     pub organisation: Option<HeaderName>,
     /// Format of `Retry-After`.
     #[builder(default)]
-    pub retry_form: RetryForm,
+    pub retry_format: RetryFormat,
     /// Whether the proxy's own answers state if the request was run.
     #[builder(default = true)]
-    pub tells_outcome: bool,
+    pub reports_outcome: bool,
     /// Whether the load, attempt ID and shutdown headers of upstreams are forwarded.
     #[builder(default)]
     pub keeps_headers: bool,
     /// Whether answers without length framing may be forwarded.
     #[builder(default)]
-    pub unbounded: bool,
+    pub allows_unframed: bool,
 }
 
 impl Default for Dialect {
@@ -98,7 +98,7 @@
     /// Returns the digest of a caller's key, if the request contains exactly one.
     #[must_use]
     pub fn key_of(&self, h: &HeaderMap) -> Option<KeyDigest> {
-        let mut all = h.get_all(self.key.as_ref()?).iter();
+        let mut all = h.get_all(self.api_key.as_ref()?).iter();
         let one = all.next().filter(|v| !v.is_empty() && v.len() <= MAX_KEY)?;
         all.next().is_none().then(|| KeyDigest::of(one.as_bytes()))
     }
@@ -108,7 +108,7 @@
         if *owner == RequestOwner::NotConfigured {
             return;
         }
-        for name in [&self.key, &self.organisation].into_iter().flatten() {
+        for name in [&self.api_key, &self.organisation].into_iter().flatten() {
             h.remove(name);
         }
         if let (Some(header), RequestOwner::Organisation { name, .. }) = (&self.organisation, owner)
@@ -122,12 +122,12 @@
     /// Reads an upstream's load report.
     #[must_use]
     pub fn load(&self, h: &HeaderMap) -> Option<LoadReport> {
-        match self.load_form {
-            LoadForm::Share => {
+        match self.load_format {
+            LoadFormat::Share => {
                 let busy = headers::number::<f64>(h, &self.load).filter(|l| l.is_finite())?;
                 Some(LoadReport { busy, slots: 1.0 })
             }
-            LoadForm::Counts => {
+            LoadFormat::Counts => {
                 let text = headers::text(h, &self.load)?;
                 let mut parts = text.split(',').map(|p| p.trim().parse::<f64>().ok());
                 let (running, waiting, slots) = (parts.next()??, parts.next()??, parts.next()??);
@@ -162,7 +162,7 @@
     /// Returns whether the request reached an instance other than the expected one.
     #[must_use]
     pub fn is_misdirected(&self, status: StatusCode) -> bool {
-        self.expect.is_some() && status == StatusCode::MISDIRECTED_REQUEST
+        self.expect_instance.is_some() && status == StatusCode::MISDIRECTED_REQUEST
     }
 
     /// Reads the backoff that an upstream requests from this box.
@@ -182,13 +182,13 @@
 
     /// Sets the headers that state when a caller may retry.
     pub fn set_retry_after(&self, d: Duration, h: &mut HeaderMap) {
-        match self.retry_form {
-            RetryForm::WholeSeconds => {
+        match self.retry_format {
+            RetryFormat::WholeSeconds => {
                 let secs = d.as_millis().div_ceil(1_000) as u64;
                 h.insert(header::RETRY_AFTER, HeaderValue::from(secs));
                 h.insert(headers::RETRY_AFTER_MS, HeaderValue::from(d.as_millis() as u64));
             }
-            RetryForm::Fraction => {
+            RetryFormat::Fraction => {
                 let text = format!("{:.3}", d.as_secs_f64());
                 let value = HeaderValue::from_str(&text).expect("digits are valid in a header");
                 h.insert(header::RETRY_AFTER, value);
--- a/crates/honeypulley_proxy/src/handler.rs
+++ b/crates/honeypulley_proxy/src/handler.rs
@@ -152,8 +152,8 @@
                 h.insert(dialect.request.clone(), v);
             }
         }
-        if let Some(expect) = &dialect.expect {
-            h.remove(expect);
+        if let Some(expect_instance) = &dialect.expect_instance {
+            h.remove(expect_instance);
         }
         if let Some(authority) = req.uri().authority()
             && (prefers_request_line(req) || !h.contains_key(header::HOST))
