--- a/crates/honeypulley_daemon/src/context.rs
+++ b/crates/honeypulley_daemon/src/context.rs
@@ -15,7 +15,7 @@
 use honeypulley_policy::placement::{self, RELAYS, Role};
 use honeypulley_policy::revision::Revision;
 use honeypulley_policy::time::Time;
-use honeypulley_proxy::shared::{Members, Shared};
+use honeypulley_proxy::shared::{BundleState, Members};
 use honeypulley_proxy::suspects::RequestQuarantine;
 use honeypulley_supervisor::ring::{OverflowPolicy, Ring};
 use parking_lot::{Mutex, MutexGuard};
@@ -69,7 +69,7 @@
     /// Identifier of this box in peer messages.
     pub id: NameId,
     /// State of the serving thread.
-    pub shared: Arc<Shared>,
+    pub shared: Arc<BundleState>,
     /// Verdicts to broadcast to all boxes.
     pub verdicts_out: Ring<Verdict>,
     /// Reports received by this box as a collector.
@@ -90,7 +90,7 @@
 impl Context {
     /// Creates the shared state of one box.
     #[must_use]
-    pub fn new(settings: Settings, shared: Arc<Shared>) -> Self {
+    pub fn new(settings: Settings, shared: Arc<BundleState>) -> Self {
         let keeper = Keeper::new(settings.signers.clone());
         Self {
             id: NameId::of(&settings.name),
@@ -313,7 +313,7 @@
         if self.shared.in_force().is_none() {
             return Err("no bundle is in force yet".to_owned());
         }
-        if !self.shared.listed.load(Ordering::Relaxed) {
+        if !self.shared.has_upstreams.load(Ordering::Relaxed) {
             return Err("the list of upstreams is not known yet".to_owned());
         }
         let silence = self.since_contact();
--- a/crates/honeypulley_daemon/src/permit.rs
+++ b/crates/honeypulley_daemon/src/permit.rs
@@ -125,7 +125,7 @@
         let (roster, f) = (self.ctx.roster()?, self.ctx.bundle()?);
         let spec = f.bundle.services().find(|s| s.name == service)?;
         let listed = roster.service(service).count();
-        let rows = self.ctx.shared.rows.load();
+        let rows = self.ctx.shared.upstream_status.load();
         let drained = |name: &str| {
             rows.iter().any(|r| r.service == service && r.upstream == name && r.state == "leaving")
         };
--- a/crates/honeypulley_daemon/src/serve.rs
+++ b/crates/honeypulley_daemon/src/serve.rs
@@ -3,7 +3,7 @@
 use eyre::{Result, WrapErr, eyre};
 use honeypulley_proxy::gate::ProxyState;
 use honeypulley_proxy::handler::ProxyHandler;
-use honeypulley_proxy::shared::Feeder;
+use honeypulley_proxy::shared::StateUpdater;
 use honeypulley_supervisor::tree::{Duty, Shutdown, block_on};
 use parking_lot::Mutex;
 use salvo::conn::tcp::TcpAcceptor;
@@ -38,7 +38,7 @@
     /// State of the serving path.
     pub gate: Arc<ProxyState>,
     /// Applies updates to that state.
-    pub feeder: Arc<dyn Feeder>,
+    pub feeder: Arc<dyn StateUpdater>,
     /// Connection limits and shutdown timing.
     pub limits: ServeLimits,
     /// Bound listener; it stays open while the duty restarts, until a graceful shutdown.
@@ -72,7 +72,7 @@
         let service = Service::new(Router::with_path("{**rest}").goal(proxy));
         let feed_task = tokio::spawn({
             let feeder = Arc::clone(&self.feeder);
-            async move { feeder.feed().await }
+            async move { feeder.run().await }
         });
         let server_task = tokio::spawn(server.serve(service));
         shutdown.drain.cancelled().await;
--- a/crates/honeypulley_daemon/src/start.rs
+++ b/crates/honeypulley_daemon/src/start.rs
@@ -14,7 +14,7 @@
 use honeypulley_platform::http::HttpPlatform;
 use honeypulley_policy::router::Router;
 use honeypulley_proxy::fingerprint::Fingerprinter;
-use honeypulley_proxy::shared::{Feed, Shared};
+use honeypulley_proxy::shared::{BundleState, ServingQueues};
 use honeypulley_supervisor::clock::Clock;
 use honeypulley_supervisor::tree::{Duty, Shutdown, Supervisor, block_on};
 use logforth::record::LevelFilter;
@@ -55,7 +55,8 @@
     let metrics = Arc::new(statsd_client(settings.metrics)?);
     let (source, clock) = (settings.source, Clock::start());
     let fingerprints = Fingerprinter::new(settings.key.subkey("request fingerprints"));
-    let shared = Shared::new(router, Feed::default(), clock, metrics, source, fingerprints)?;
+    let shared =
+        BundleState::new(router, ServingQueues::default(), clock, metrics, source, fingerprints)?;
     let shared = Arc::new(shared);
     let (name, hall) = (settings.name.as_str(), settings.hall.as_str());
     log::info!(
@@ -70,7 +71,7 @@
     };
     let serve = ServeDuty {
         gate: Arc::clone(&shared.gate),
-        feeder: Arc::<Shared>::clone(&shared),
+        feeder: Arc::<BundleState>::clone(&shared),
         limits,
         listener: Mutex::new(Some(caller_listener)),
     };
--- a/crates/honeypulley_daemon/src/status.rs
+++ b/crates/honeypulley_daemon/src/status.rs
@@ -79,6 +79,6 @@
         open: ctx.shared.gate.open.load(Ordering::Relaxed),
         dropped: ctx.shared.feed.reports.dropped(),
         sent: ctx.sent_bytes.load(Ordering::Relaxed),
-        upstreams: ctx.shared.rows.load().iter().map(row).collect(),
+        upstreams: ctx.shared.upstream_status.load().iter().map(row).collect(),
     }
 }
--- a/crates/honeypulley_mesh/src/serving.rs
+++ b/crates/honeypulley_mesh/src/serving.rs
@@ -16,7 +16,7 @@
 use honeypulley_policy::time::Time;
 use honeypulley_proxy::answer::LocalAnswer;
 use honeypulley_proxy::gate::{RequestOwner, RouteDecision, RouteRequest, Routes};
-use honeypulley_proxy::shared::Feeder;
+use honeypulley_proxy::shared::StateUpdater;
 use http::StatusCode;
 use parking_lot::Mutex;
 use std::sync::Arc;
@@ -340,8 +340,8 @@
 }
 
 #[async_trait]
-impl Feeder for BalancerUpdater {
-    async fn feed(&self) {
+impl StateUpdater for BalancerUpdater {
+    async fn run(&self) {
         loop {
             self.apply_updates();
             tokio::select! {
--- a/crates/honeypulley_proxy/src/lib.rs
+++ b/crates/honeypulley_proxy/src/lib.rs
@@ -28,6 +28,6 @@
         dialect::Dialect,
         gate::{ProxyState, RouteDecision, Routes},
         handler::ProxyHandler,
-        shared::{Feed, Shared},
+        shared::{BundleState, ServingQueues},
     };
 }
--- a/crates/honeypulley_proxy/src/shared.rs
+++ b/crates/honeypulley_proxy/src/shared.rs
@@ -49,7 +49,7 @@
 
 /// Ring buffers into and out of the serving thread.
 #[derive(Clone, Debug)]
-pub struct Feed {
+pub struct ServingQueues {
     /// Bundles put in force; only the newest one counts.
     pub bundles: Ring<Arc<InForce>>,
     /// Lists of members; only the newest one counts.
@@ -64,7 +64,7 @@
     pub reports: Ring<Report>,
 }
 
-impl Default for Feed {
+impl Default for ServingQueues {
     fn default() -> Self {
         Self {
             bundles: Ring::new(4, OverflowPolicy::DropOldest),
@@ -79,9 +79,9 @@
 
 /// Keeps the state of the serving path up to date, on the serving thread.
 #[async_trait]
-pub trait Feeder: fmt::Debug + Send + Sync {
+pub trait StateUpdater: fmt::Debug + Send + Sync {
     /// Applies updates from the other duties, forever.
-    async fn feed(&self);
+    async fn run(&self);
 }
 
 /// Routes of the bundle in force.
@@ -96,27 +96,27 @@
 }
 
 /// State of the serving thread, configured by the product's own bundles and lists.
-pub struct Shared {
+pub struct BundleState {
     /// State of the serving path.
     pub gate: Arc<ProxyState>,
     /// Routing state, which is also the policy of the serving path.
     pub router: Arc<Mutex<Router>>,
     /// Ring buffers to the other duties.
-    pub feed: Feed,
+    pub feed: ServingQueues,
     /// Set once a list with upstreams was applied.
-    pub listed: AtomicBool,
+    pub has_upstreams: AtomicBool,
     /// Status of all upstreams for operators, updated four times a second.
-    pub rows: ArcSwap<Vec<UpstreamStatus>>,
+    pub upstream_status: ArcSwap<Vec<UpstreamStatus>>,
     routes: Arc<BundleRoutes>,
 }
 
-impl fmt::Debug for Shared {
+impl fmt::Debug for BundleState {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Shared").field("gate", &self.gate).finish_non_exhaustive()
     }
 }
 
-impl Shared {
+impl BundleState {
     /// Creates the state with a router.
     ///
     /// Connections to upstreams are bound to the local address `source`, if it is given.
@@ -125,7 +125,7 @@
     /// Returns an error if the HTTP client can't be built.
     pub fn new(
         router: Router,
-        feed: Feed,
+        feed: ServingQueues,
         clock: Clock,
         metrics: Arc<StatsdClient>,
         source: Option<IpAddr>,
@@ -156,8 +156,8 @@
             gate: Arc::new(gate),
             router,
             feed,
-            listed: AtomicBool::new(false),
-            rows: ArcSwap::default(),
+            has_upstreams: AtomicBool::new(false),
+            upstream_status: ArcSwap::default(),
             routes,
         })
     }
@@ -193,8 +193,8 @@
             reports.into_iter().for_each(|r| self.feed.reports.push(r));
             ticks += 1;
             if ticks.is_multiple_of(STATUS_TICKS) {
-                let rows = self.router.lock().status(self.now());
-                self.rows.store(Arc::new(rows));
+                let status = self.router.lock().status(self.now());
+                self.upstream_status.store(Arc::new(status));
                 self.emit_gauges();
             }
         }
@@ -203,7 +203,7 @@
     fn apply_updates(&self, last: &mut Option<Members>) {
         let mut router = self.router.lock();
         let now = self.now();
-        let mut listed = false;
+        let mut is_changed = false;
         while let Some(f) = self.feed.bundles.pop() {
             // Two duties may push versions in the wrong order.
             if f.head.version <= self.version() {
@@ -213,18 +213,18 @@
             let signer = f.head.signature.signer.as_str();
             log::info!(bundle = f.head.version.0, signer; "proxy: {} is in force", f.head.version);
             self.routes.in_force.store(Some(f));
-            listed = true;
+            is_changed = true;
         }
         while let Some(m) = self.feed.members.pop() {
             *last = Some(m);
-            listed = true;
+            is_changed = true;
         }
-        if let (true, Some(m)) = (listed, last.as_ref()) {
+        if let (true, Some(m)) = (is_changed, last.as_ref()) {
             router.set_members(&m.upstreams, m.boxes, now);
             self.routes.boxes.store(m.boxes.max(1), Ordering::Relaxed);
             // The first list after a start may still be empty.
             if !m.upstreams.is_empty() {
-                self.listed.store(true, Ordering::Relaxed);
+                self.has_upstreams.store(true, Ordering::Relaxed);
             }
         }
         // Confirmations are read first. Their permits are then already in the other ring, so a
@@ -255,9 +255,9 @@
 }
 
 #[async_trait]
-impl Feeder for Shared {
-    async fn feed(&self) {
-        self.run().await;
+impl StateUpdater for BundleState {
+    async fn run(&self) {
+        BundleState::run(self).await;
     }
 }
 
--- a/crates/honeypulley_proxy/tests/order.rs
+++ b/crates/honeypulley_proxy/tests/order.rs
@@ -7,7 +7,7 @@
 use honeypulley_bundle::sign::Signer;
 use honeypulley_policy::router::Router;
 use honeypulley_proxy::fingerprint::Fingerprinter;
-use honeypulley_proxy::shared::{Feed, Shared};
+use honeypulley_proxy::shared::{BundleState, ServingQueues};
 use honeypulley_supervisor::clock::Clock;
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -31,9 +31,9 @@
     let metrics = Arc::new(StatsdClient::from_sink("test", NopMetricSink));
     let router = Router::new("b", "h", 7);
     let shared = Arc::new(
-        Shared::new(
+        BundleState::new(
             router,
-            Feed::default(),
+            ServingQueues::default(),
             Clock::start(),
             metrics,
             None,
