--- a/crates/honeypulley_proxy/benches/fingerprint.rs
+++ b/crates/honeypulley_proxy/benches/fingerprint.rs
@@ -53,7 +53,7 @@
     for bytes in [0, 1_024, MAX_BUFFERED] {
         let body = Source::Buffered(Bytes::from(vec![7; bytes]));
         let took = median_ns(|| {
-            black_box(fingerprinter.of(&id, &body));
+            black_box(fingerprinter.fingerprint(&id, &body));
         });
         println!("fingerprints: {took} ns with a body of {bytes} bytes");
     }
--- a/crates/honeypulley_proxy/src/fingerprint.rs
+++ b/crates/honeypulley_proxy/src/fingerprint.rs
@@ -48,7 +48,7 @@
     ///
     /// Of a streamed body, only the beginning and the length, if known, are covered.
     #[must_use]
-    pub fn of(&self, id: &Identity<'_>, body: &Source) -> Fingerprints {
+    pub fn fingerprint(&self, id: &Identity<'_>, body: &Source) -> Fingerprints {
         let mut hasher = blake3::Hasher::new_keyed(&self.0);
         hash_part(&mut hasher, id.method.as_str().as_bytes());
         hash_part(&mut hasher, id.host.as_bytes());
--- a/crates/honeypulley_proxy/src/handler.rs
+++ b/crates/honeypulley_proxy/src/handler.rs
@@ -72,7 +72,7 @@
             caller: req.remote_addr().ip(),
             caller_name: headers::text(req.headers(), &dialect.caller),
         };
-        out.same = self.gate.fingerprints.of(&identity, &source);
+        out.same = self.gate.fingerprints.fingerprint(&identity, &source);
         self.check_hold(&id, out.same)?;
         let read_failed = source.read_failed();
         let service = decision.service.clone();
--- a/crates/honeypulley_proxy/tests/fingerprint.rs
+++ b/crates/honeypulley_proxy/tests/fingerprint.rs
@@ -22,7 +22,8 @@
 }
 
 fn fingerprints(id: &Identity<'_>, body: &'static str) -> Fingerprints {
-    Fingerprinter::new([7; 32]).of(id, &Source::Buffered(Bytes::from_static(body.as_bytes())))
+    Fingerprinter::new([7; 32])
+        .fingerprint(id, &Source::Buffered(Bytes::from_static(body.as_bytes())))
 }
 
 #[test]
@@ -61,7 +62,7 @@
     let body = Source::Buffered(Bytes::new());
     let id = identity(&GET);
     assert_ne!(
-        Fingerprinter::new([7; 32]).of(&id, &body),
-        Fingerprinter::new([8; 32]).of(&id, &body)
+        Fingerprinter::new([7; 32]).fingerprint(&id, &body),
+        Fingerprinter::new([8; 32]).fingerprint(&id, &body)
     );
 }
