--- a/crates/honeypulley_standin/src/bin/standin_upstream.rs
+++ b/crates/honeypulley_standin/src/bin/standin_upstream.rs
@@ -2,7 +2,7 @@
 
 use clap::{Arg, Command, value_parser};
 use eyre::Result;
-use honeypulley_standin::upstream::{Shape, StandinUpstream};
+use honeypulley_standin::upstream::{StandinUpstream, UpstreamConfig};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -11,30 +11,30 @@
         Arg::new(name).long(name).default_value(default).value_parser(value_parser!(u64)).help(help)
     };
     let args = Command::new("standin-upstream")
-        .about("Stands in for one upstream, with failures that can be switched on")
+        .about("Runs a stand-in upstream with faults that can be injected")
         .arg(Arg::new("name").required(true))
         .arg(Arg::new("listen").required(true).value_parser(value_parser!(SocketAddr)))
         .arg(Arg::new("control").required(true).value_parser(value_parser!(SocketAddr)))
-        .arg(number("slots", "3", "Requests run at one time"))
-        .arg(number("queue", "32", "Requests that may wait"))
-        .arg(number("connections", "220", "Connections at one time"))
-        .arg(number("work-ms", "10", "Work of one request"))
-        .arg(number("cold-ms", "0", "Time over which a start is slow"))
-        .arg(number("lag-ms", "200", "Lag of the reported load"))
+        .arg(number("slots", "3", "Number of requests that run concurrently"))
+        .arg(number("queue", "32", "Number of requests that may wait for a slot"))
+        .arg(number("connections", "220", "Number of concurrent connections"))
+        .arg(number("work-ms", "10", "Time that a request takes"))
+        .arg(number("cold-ms", "0", "Warm-up period"))
+        .arg(number("lag-ms", "200", "Interval at which the reported load is refreshed"))
         .get_matches();
     let get = |name: &str| *args.get_one::<u64>(name).expect("has a default");
-    let shape = Shape {
+    let config = UpstreamConfig {
         name: args.get_one::<String>("name").expect("required").clone(),
         slots: get("slots") as usize,
         queue: get("queue") as usize,
         connections: get("connections") as usize,
-        work: Duration::from_millis(get("work-ms")),
-        cold: Duration::from_millis(get("cold-ms")),
-        lag: Duration::from_millis(get("lag-ms")),
+        work_time: Duration::from_millis(get("work-ms")),
+        warm_up: Duration::from_millis(get("cold-ms")),
+        load_interval: Duration::from_millis(get("lag-ms")),
     };
     let listen = *args.get_one("listen").expect("required");
     let control = *args.get_one("control").expect("required");
     let runtime =
         tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
-    runtime.block_on(StandinUpstream::new(shape).serve(listen, control))
+    runtime.block_on(StandinUpstream::new(config).serve(listen, control))
 }
--- a/crates/honeypulley_standin/src/lib.rs
+++ b/crates/honeypulley_standin/src/lib.rs
@@ -1,7 +1,7 @@
-//! Stand-ins for the platform and for upstreams.
+//! Stand-in platform and stand-in upstreams with faults that can be injected.
 //!
-//! They speak the published protocols and fail on command. Tests, the demo and
-//! trials use them; nothing shipped depends on them.
+//! Both implement the published protocols. Tests, the demo and the measuring
+//! tools use them; no shipped program depends on them.
 
 pub mod platform;
 pub mod upstream;
--- a/crates/honeypulley_standin/src/platform.rs
+++ b/crates/honeypulley_standin/src/platform.rs
@@ -1,8 +1,9 @@
-//! The stand-in platform: an object store over HTTP that fails on command.
+//! Stand-in platform: an object store over HTTP with injected faults.
 //!
-//! Beside the object API: `PUT /members` replaces the list, which is shown after
-//! the lag. `PUT /faults` takes [`Switches`] as JSON. `GET /calls` counts. `PUT /backup` copies
-//! the objects, `PUT /restore` restores the last copy.
+//! Besides the object API, `PUT /members` replaces the list, which becomes visible
+//! after a delay. `PUT /faults` takes [`Switches`] as JSON, `GET /calls` returns
+//! [`Calls`], `PUT /backup` copies the objects and `PUT /restore` restores the last
+//! copy.
 
 use base64::{Engine, engine::general_purpose::STANDARD as BASE64};
 use bytes::Bytes;
@@ -23,25 +24,25 @@
 use std::time::{Duration, Instant};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Failures and limits that can be switched.
+/// Faults and rate limits to simulate, set over `PUT /faults`.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Switches {
-    /// Every call is refused.
+    /// Whether every call is refused.
     pub outage: bool,
     /// Milliseconds added to each call.
     pub slow_ms: u64,
-    /// The next so many writes take effect and lose their answer.
+    /// Number of next writes that take effect but whose answers are lost.
     pub lost: u32,
-    /// The next so many writes are dropped and lose their answer.
+    /// Number of next writes that have no effect and whose answers are lost.
     pub dropped: u32,
-    /// Writes allowed a second; zero means no limit.
+    /// Writes allowed per second; zero means no limit.
     pub write_rate: u32,
-    /// Reads allowed a second; zero means no limit.
+    /// Reads allowed per second; zero means no limit.
     pub read_rate: u32,
 }
 
-/// How often the platform was called.
+/// Number of calls that the platform received.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub struct Calls {
     /// Reads, watches and lists.
@@ -51,33 +52,33 @@
 }
 
 #[derive(Debug)]
-struct Window {
+struct RateWindow {
     began: Instant,
     reads: u32,
     writes: u32,
 }
 
-/// The stand-in platform.
+/// Stand-in platform.
 #[derive(Debug)]
 pub struct StandinPlatform {
     store: MemoryPlatform,
     backup: Mutex<Option<Backup>>,
     switches: Mutex<Switches>,
-    window: Mutex<Window>,
-    lag: Duration,
+    window: Mutex<RateWindow>,
+    list_lag: Duration,
 }
 
 impl StandinPlatform {
-    /// Builds an empty platform whose list lags by `lag`.
+    /// Creates an empty platform; a new list becomes visible after `list_lag`.
     #[must_use]
-    pub fn new(lag: Duration) -> Self {
-        let window = Window { began: Instant::now(), reads: 0, writes: 0 };
+    pub fn new(list_lag: Duration) -> Self {
+        let window = RateWindow { began: Instant::now(), reads: 0, writes: 0 };
         Self {
             store: MemoryPlatform::default(),
             backup: Mutex::default(),
             switches: Mutex::default(),
             window: Mutex::new(window),
-            lag,
+            list_lag,
         }
     }
 
@@ -87,22 +88,22 @@
     /// Returns an error if the port can't be served.
     pub async fn serve(self, listener: tokio::net::TcpListener) -> Result<()> {
         let acceptor = TcpAcceptor::try_from(listener).wrap_err("listen")?;
-        let page = Page(Arc::new(self));
-        Server::new(acceptor).serve(Router::with_path("{**rest}").goal(page)).await;
+        let handler = ApiHandler(Arc::new(self));
+        Server::new(acceptor).serve(Router::with_path("{**rest}").goal(handler)).await;
         Ok(())
     }
 
-    /// Consumes one call of the rate; returns whether it fits.
-    fn fits_rate(&self, write: bool) -> bool {
+    /// Counts one call and returns whether the rate limit allows it.
+    fn allow_call(&self, write: bool) -> bool {
         let s = *self.switches.lock();
         let mut w = self.window.lock();
         if w.began.elapsed() > Duration::from_secs(1) {
-            *w = Window { began: Instant::now(), reads: 0, writes: 0 };
+            *w = RateWindow { began: Instant::now(), reads: 0, writes: 0 };
         }
-        let (used, most) =
+        let (used, limit) =
             if write { (&mut w.writes, s.write_rate) } else { (&mut w.reads, s.read_rate) };
         *used += 1;
-        most == 0 || *used <= most
+        limit == 0 || *used <= limit
     }
 
     fn set_switches(&self, s: Switches) {
@@ -117,20 +118,20 @@
 }
 
 #[derive(Clone, Debug)]
-struct Page(Arc<StandinPlatform>);
+struct ApiHandler(Arc<StandinPlatform>);
 
 #[async_trait]
-impl Handler for Page {
+impl Handler for ApiHandler {
     async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
         let path = req.uri().path().to_owned();
         let write = *req.method() == Method::PUT;
         match path.as_str() {
-            "/faults" => return self.take_faults(req, res).await,
+            "/faults" => return self.handle_faults(req, res).await,
             "/calls" => {
                 let (reads, writes) = self.0.store.calls();
                 return res.render(Json(Calls { reads, writes }));
             }
-            "/members" if write => return self.take_members(req).await,
+            "/members" if write => return self.handle_members(req).await,
             "/backup" if write => {
                 *self.0.backup.lock() = Some(self.0.store.backup());
                 return;
@@ -140,25 +141,25 @@
         }
         let slow = self.0.switches.lock().slow_ms;
         tokio::time::sleep(Duration::from_millis(slow)).await;
-        if !self.0.fits_rate(write) {
+        if !self.0.allow_call(write) {
             res.status_code(StatusCode::TOO_MANY_REQUESTS);
             return;
         }
-        let done = match path.as_str() {
+        let result = match path.as_str() {
             "/members" => self.list(req, res).await,
             "/watch" => self.watch(req, res).await,
             _ if write => self.put(&path, req, res).await,
             _ => self.get(&path, res).await,
         };
-        if let Err(e) = done {
-            fail(&e, res);
+        if let Err(e) = result {
+            set_error(&e, res);
         }
-        // Epochs count from one here.
+        // Epochs on the wire start at one.
         res.headers_mut().insert(EPOCH, (self.0.store.epoch() + 1).into());
     }
 }
 
-impl Page {
+impl ApiHandler {
     fn restore(&self, res: &mut Response) {
         match self.0.backup.lock().clone() {
             Some(backup) => self.0.store.restore(backup),
@@ -168,7 +169,7 @@
         }
     }
 
-    async fn take_faults(&self, req: &mut Request, res: &mut Response) {
+    async fn handle_faults(&self, req: &mut Request, res: &mut Response) {
         let body = req.payload().await.cloned().unwrap_or_default();
         match serde_json::from_slice(&body) {
             Ok(s) => self.0.set_switches(s),
@@ -178,21 +179,21 @@
         }
     }
 
-    async fn take_members(&self, req: &mut Request) {
+    async fn handle_members(&self, req: &mut Request) {
         let body = req.payload().await.cloned().unwrap_or_default();
         let this = Arc::clone(&self.0);
         tokio::spawn(async move {
-            tokio::time::sleep(this.lag).await;
+            tokio::time::sleep(this.list_lag).await;
             this.store.set_members(body);
         });
     }
 
     async fn list(&self, req: &Request, res: &mut Response) -> Result<(), PlatformError> {
         let json = self.0.store.members().await?;
-        let tag = xxh3_64(&json);
-        set_etag(res, tag);
-        let known: Option<String> = req.header(header::IF_NONE_MATCH);
-        if known.is_some_and(|k| k == format!("\"{tag}\"")) {
+        let etag = xxh3_64(&json);
+        set_etag(res, etag);
+        let if_none_match: Option<String> = req.header(header::IF_NONE_MATCH);
+        if if_none_match.is_some_and(|t| t == format!("\"{etag}\"")) {
             res.status_code(StatusCode::NOT_MODIFIED);
             return Ok(());
         }
@@ -210,20 +211,20 @@
         let wait = Duration::from_millis(req.query("wait_ms").unwrap_or_default());
         let after = Revision::new(self.0.store.epoch(), after);
         let c = self.0.store.watch(&prefix, after, wait).await?;
-        let wire = |o: &honeypulley_platform::api::Object| WireObject {
+        let to_wire = |o: &honeypulley_platform::api::Object| WireObject {
             key: o.key.clone(),
             value: BASE64.encode(&o.value),
             version: o.version.number,
         };
         res.render(Json(WireChanges {
             version: c.version.number,
-            objects: c.objects.iter().map(wire).collect(),
+            objects: c.objects.iter().map(to_wire).collect(),
         }));
         Ok(())
     }
 
     async fn get(&self, path: &str, res: &mut Response) -> Result<(), PlatformError> {
-        match self.0.store.get(key_of(path)).await? {
+        match self.0.store.get(object_key(path)).await? {
             None => {
                 res.status_code(StatusCode::NOT_FOUND);
             }
@@ -241,22 +242,22 @@
         req: &mut Request,
         res: &mut Response,
     ) -> Result<(), PlatformError> {
-        let matched: Option<u64> = req.header(header::IF_MATCH);
-        let at = |number| Revision::new(self.0.store.epoch(), number);
-        let expect = matched.map_or(Expect::Absent, |n| Expect::Version(at(n)));
+        let if_match: Option<u64> = req.header(header::IF_MATCH);
+        let revision = |number| Revision::new(self.0.store.epoch(), number);
+        let expect = if_match.map_or(Expect::Absent, |n| Expect::Version(revision(n)));
         let body = req.payload_with_max_size(2_000_000).await.cloned().unwrap_or_default();
         if body.len() > honeypulley_platform::api::MAX_VALUE {
             res.status_code(StatusCode::PAYLOAD_TOO_LARGE);
             return Ok(());
         }
-        let version = self.0.store.put(key_of(path), body, expect).await?;
+        let version = self.0.store.put(object_key(path), body, expect).await?;
         set_etag(res, version.number);
         res.status_code(StatusCode::OK);
         Ok(())
     }
 }
 
-fn key_of(path: &str) -> &str {
+fn object_key(path: &str) -> &str {
     path.strip_prefix("/objects/").unwrap_or(path)
 }
 
@@ -266,7 +267,7 @@
     }
 }
 
-fn fail(e: &PlatformError, res: &mut Response) {
+fn set_error(e: &PlatformError, res: &mut Response) {
     match e {
         PlatformError::Conflict { current, .. } => {
             set_etag(res, current.number);
@@ -278,7 +279,7 @@
         PlatformError::Compacted { .. } | PlatformError::Restored { .. } => {
             res.status_code(StatusCode::GONE);
         }
-        // A lost answer: a gateway's error says nothing about the write.
+        // A gateway time-out leaves open whether the write took effect.
         PlatformError::Unknown { .. } => {
             res.status_code(StatusCode::GATEWAY_TIMEOUT);
         }
--- a/crates/honeypulley_standin/src/work.rs
+++ b/crates/honeypulley_standin/src/work.rs
@@ -1,81 +1,81 @@
-//! What an upstream did: every execution by the request's identity.
+//! Faults of a stand-in upstream and the journal of its executions.
 
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::IpAddr;
 
-/// How an upstream misbehaves.
+/// Fault that an upstream simulates.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Mode {
-    /// It does not.
+    /// None.
     #[default]
     Healthy,
     /// Runs the request and never answers.
     Stall,
-    /// Takes ten times as long.
+    /// Takes ten times as long to run a request.
     Slow,
     /// Runs the request and answers with status 500.
     Fail,
-    /// Cuts the answer in the middle.
+    /// Closes the connection halfway through the answer's body.
     Cut,
-    /// Labels the answer as another request's.
+    /// Sends the answer with the attempt id of another request.
     Mislabel,
     /// Refuses connections.
     Refuse,
-    /// Is healthy and stalls in turn.
+    /// Alternates between healthy and stalled phases.
     Flap,
-    /// Refuses before running, saying so.
+    /// Refuses requests before running them, with a header that says so.
     Shed,
 }
 
-/// Switches of one upstream.
+/// Fault injection settings of one upstream, set over its control port.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Switches {
-    /// How it misbehaves.
+    /// Fault to simulate.
     pub mode: Mode,
-    /// Callers it misbehaves to; everybody if empty.
+    /// Source addresses that see the fault; all if empty.
     pub only: Vec<IpAddr>,
-    /// Milliseconds of each phase while it flaps.
+    /// Length of each phase of [`Mode::Flap`] in milliseconds.
     pub flap_ms: u64,
-    /// It is leaving and marks its answers so.
+    /// Whether answers carry the header of a draining upstream.
     pub drain: bool,
-    /// What it claims as its load, whatever the truth.
+    /// Load to report in thousandths, in place of the actual load.
     pub claim_load: Option<u32>,
 }
 
-/// Executions by the request's identity.
+/// Counts executions by request id.
 #[derive(Debug, Default)]
 pub struct Journal {
     runs: Mutex<BTreeMap<String, u32>>,
     cancelled: Mutex<u64>,
 }
 
-/// A journal as JSON.
+/// Contents of a [`Journal`], as the control port returns them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct JournalPage {
-    /// Number of executions by the request's identity.
+pub struct JournalSnapshot {
+    /// Number of executions by request id.
     pub runs: BTreeMap<String, u32>,
-    /// Requests whose caller left first.
+    /// Requests whose caller disconnected before the answer.
     pub cancelled: u64,
 }
 
 impl Journal {
-    /// Books that a request begins to run.
-    pub fn run(&self, request: &str) {
-        *self.runs.lock().entry(request.to_owned()).or_default() += 1;
+    /// Records that a request starts to run.
+    pub fn record_run(&self, request_id: &str) {
+        *self.runs.lock().entry(request_id.to_owned()).or_default() += 1;
     }
 
-    /// Books that a caller left first.
-    pub fn cancel(&self) {
+    /// Records that a caller disconnected before the answer.
+    pub fn record_cancellation(&self) {
         *self.cancelled.lock() += 1;
     }
 
-    /// Returns everything booked.
+    /// Returns the current contents.
     #[must_use]
-    pub fn page(&self) -> JournalPage {
-        JournalPage { runs: self.runs.lock().clone(), cancelled: *self.cancelled.lock() }
+    pub fn snapshot(&self) -> JournalSnapshot {
+        JournalSnapshot { runs: self.runs.lock().clone(), cancelled: *self.cancelled.lock() }
     }
 }
--- a/tools/demo/src/main.rs
+++ b/tools/demo/src/main.rs
@@ -1,92 +1,101 @@
-//! Runs the main job on embedded stand-ins and tells what happens.
+//! Demonstrates a roll-out and the handling of a stalled upstream on a local fleet.
 //!
-//! A platform, six upstreams and three boxes run as processes. A signed bundle
-//! is rolled out, requests flow, one upstream stalls and loses its work.
+//! Starts a stand-in platform, six stand-in upstreams and three boxes as processes,
+//! rolls out a signed bundle and sends requests. Then one upstream stalls, and the
+//! boxes stop sending requests to it.
 
 use eyre::{Result, WrapErr, ensure};
-use fleet::{Fleet, check, shape::Shape};
+use fleet::{Fleet, check_success, shape::FleetConfig};
 use honeypulley_standin::work::{Mode, Switches};
 use std::collections::BTreeMap;
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-/// Requests sent each second, over all boxes.
+/// Requests sent per second, over all boxes.
 const RATE: u64 = 150;
-/// The upstream that turns gray.
-const GRAY: usize = 2;
+/// Index of the upstream that stalls.
+const STALLED: usize = 2;
 
 #[tokio::main]
 async fn main() -> Result<()> {
-    build()?;
+    build_programs()?;
     println!("Starting a platform, six upstreams and three boxes on loopback.");
-    let shape = Shape {
+    let config = FleetConfig {
         services: vec![("guestlist".to_owned(), 6)],
         boxes: 3,
         halls: 3,
-        ..Shape::default()
+        ..FleetConfig::default()
     };
-    let fleet = Fleet::start(shape).await?;
-    let path = fleet.write_bundle("fleet.ini", &fleet.shape().bundle())?;
+    let fleet = Fleet::start(config).await?;
+    let path = fleet.write_bundle("fleet.ini", &fleet.config().bundle_text())?;
     fleet.sign(&path, "alice")?;
     println!("Rolling out a bundle signed by alice:");
-    let out = fleet.operator(&[
+    let out = fleet.run_operator(&[
         "roll-out",
         fleet::path_str(&path),
         "--settings",
-        &fleet.operator_ini(),
+        &fleet.operator_settings(),
         "--wait",
     ])?;
-    check(&out)?;
+    check_success(&out)?;
     print!("{}", String::from_utf8_lossy(&out.stdout));
     println!("\nFour seconds of {RATE} requests a second, all upstreams healthy:");
-    show(&load(&fleet, Duration::from_secs(4)).await?);
-    let name = &fleet.upstreams[GRAY].member.name;
-    println!("\n{name} turns gray: it takes requests and never answers. Six more seconds:");
-    fleet.switch(GRAY, &Switches { mode: Mode::Stall, ..Switches::default() }).await?;
-    show(&load(&fleet, Duration::from_secs(6)).await?);
-    println!("\nWhat operators see now:");
-    let out = fleet.operator(&["status", "--settings", &fleet.operator_ini()])?;
-    check(&out)?;
+    print_result(&send_load(&fleet, Duration::from_secs(4)).await?);
+    let name = &fleet.upstreams[STALLED].member.name;
+    println!("\n{name} stalls: it accepts requests and never answers. Six more seconds:");
+    fleet
+        .set_upstream_faults(STALLED, &Switches { mode: Mode::Stall, ..Switches::default() })
+        .await?;
+    print_result(&send_load(&fleet, Duration::from_secs(6)).await?);
+    println!("\nOutput of `honeypulley status`:");
+    let out = fleet.run_operator(&["status", "--settings", &fleet.operator_settings()])?;
+    check_success(&out)?;
     print!("{}", String::from_utf8_lossy(&out.stdout));
-    println!("\nWhy {name} is set aside:");
-    let out = fleet.operator(&["why", "guestlist", name, "--settings", &fleet.operator_ini()])?;
-    check(&out)?;
+    println!("\nOutput of `honeypulley why` for {name}:");
+    let out = fleet.run_operator(&[
+        "why",
+        "guestlist",
+        name,
+        "--settings",
+        &fleet.operator_settings(),
+    ])?;
+    check_success(&out)?;
     print!("{}", String::from_utf8_lossy(&out.stdout));
     Ok(())
 }
 
-/// Builds the programs, in the profile that this one was built in.
-fn build() -> Result<()> {
+/// Builds the programs with the build profile of this one.
+fn build_programs() -> Result<()> {
     let mut cargo = Command::new("cargo");
     cargo.args(["build", "--quiet", "--workspace", "--bins"]);
     if !cfg!(debug_assertions) {
         cargo.arg("--release");
     }
-    ensure!(cargo.status().wrap_err("run cargo")?.success(), "the programs do not build");
+    ensure!(cargo.status().wrap_err("run cargo")?.success(), "cargo build failed");
     Ok(())
 }
 
-/// What a stretch of load met.
+/// Answers to the requests of one phase.
 #[derive(Debug, Default)]
-struct Met {
+struct LoadResult {
     statuses: BTreeMap<u16, u32>,
     by_upstream: BTreeMap<String, u32>,
-    took: Vec<Duration>,
+    latencies: Vec<Duration>,
 }
 
-async fn load(fleet: &Fleet, length: Duration) -> Result<Met> {
+async fn send_load(fleet: &Fleet, duration: Duration) -> Result<LoadResult> {
     let client = reqwest::Client::builder().no_proxy().build()?;
     let began = Instant::now();
     let mut tick = tokio::time::interval(Duration::from_micros(1_000_000 / RATE));
-    let mut open = Vec::new();
+    let mut in_flight = Vec::new();
     for i in 0.. {
         tick.tick().await;
-        if began.elapsed() > length {
+        if began.elapsed() > duration {
             break;
         }
         let to = fleet.boxes[i % fleet.boxes.len()].listen;
         let request = client.get(format!("http://{to}/list")).header("host", "guestlist.example");
-        open.push(tokio::spawn(async move {
+        in_flight.push(tokio::spawn(async move {
             let began = Instant::now();
             let answer = request.send().await?;
             let status = answer.status().as_u16();
@@ -94,28 +103,29 @@
             Ok::<_, reqwest::Error>((status, text, began.elapsed()))
         }));
     }
-    let mut met = Met::default();
-    for o in open {
-        let (status, text, took) = o.await??;
-        *met.statuses.entry(status).or_default() += 1;
+    let mut result = LoadResult::default();
+    for answer in in_flight {
+        let (status, text, latency) = answer.await??;
+        *result.statuses.entry(status).or_default() += 1;
         let upstream = text.split('"').nth(3).unwrap_or("none").to_owned();
-        *met.by_upstream.entry(upstream).or_default() += 1;
-        met.took.push(took);
+        *result.by_upstream.entry(upstream).or_default() += 1;
+        result.latencies.push(latency);
     }
-    met.took.sort_unstable();
-    Ok(met)
+    result.latencies.sort_unstable();
+    Ok(result)
 }
 
-fn show(met: &Met) {
-    let at =
-        |share: f64| met.took[((met.took.len() - 1) as f64 * share) as usize].as_secs_f64() * 1e3;
-    let statuses: Vec<String> = met.statuses.iter().map(|(s, n)| format!("{n} x {s}")).collect();
-    let shares: Vec<String> = met.by_upstream.iter().map(|(u, n)| format!("{u} {n}")).collect();
+fn print_result(result: &LoadResult) {
+    let percentile_ms = |share: f64| {
+        result.latencies[((result.latencies.len() - 1) as f64 * share) as usize].as_secs_f64() * 1e3
+    };
+    let statuses: Vec<String> = result.statuses.iter().map(|(s, n)| format!("{n} x {s}")).collect();
+    let shares: Vec<String> = result.by_upstream.iter().map(|(u, n)| format!("{u} {n}")).collect();
     println!(
         "  answers: {}; median {:.1} ms, p99 {:.1} ms",
         statuses.join(", "),
-        at(0.5),
-        at(0.99)
+        percentile_ms(0.5),
+        percentile_ms(0.99)
     );
     println!("  by upstream: {}", shares.join(", "));
 }
--- a/tools/fleet/src/lib.rs
+++ b/tools/fleet/src/lib.rs
@@ -1,6 +1,6 @@
-//! Starts a whole fleet as processes on loopback, for tests, demo and trials.
+//! Starts a whole fleet as processes on loopback, for tests, demo and measurements.
 //!
-//! It is a tool of developers: the programs it starts never start any other.
+//! This is a development tool; the shipped programs never start other processes.
 
 pub mod process;
 pub mod shape;
@@ -10,10 +10,10 @@
 use honeypulley_platform::roster::{BoxEntry, Roster};
 use honeypulley_policy::spec::{Member, MemberState};
 use honeypulley_standin::platform::{Calls, Switches as PlatformSwitches};
-use honeypulley_standin::work::{JournalPage, Switches};
+use honeypulley_standin::work::{JournalSnapshot, Switches};
 use process::{Process, program};
 use reqwest::Client;
-use shape::{FLEET_KEY, Shape};
+use shape::{FLEET_KEY, FleetConfig};
 use std::collections::BTreeSet;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, UdpSocket};
 use std::path::{Path, PathBuf};
@@ -22,66 +22,66 @@
 use std::time::{Duration, Instant};
 use tempfile::TempDir;
 
-/// Longest wait for a program to become ready.
-const START_TIME: Duration = Duration::from_secs(20);
+/// Time within which a program must become ready.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// One upstream process.
 #[derive(Debug)]
 pub struct UpstreamProcess {
-    /// Its entry in the list.
+    /// Entry in the platform's list.
     pub member: Member,
-    /// Its control port.
+    /// Address of the control port.
     pub control: SocketAddr,
-    /// The process.
+    /// The process itself.
     pub process: Process,
 }
 
 /// One box process.
 #[derive(Debug)]
 pub struct BoxProcess {
-    /// Its entry in the list.
+    /// Entry in the platform's list.
     pub entry: BoxEntry,
-    /// Where callers connect.
+    /// Address of the callers' port.
     pub listen: SocketAddr,
-    /// Where readiness is asked.
+    /// Address of the admin port.
     pub admin: SocketAddr,
-    /// Address its connections to upstreams come from.
+    /// Source address of connections to upstreams.
     pub source: Ipv4Addr,
-    /// The process.
+    /// The process itself.
     pub process: Process,
 }
 
-/// A fleet on loopback; dropping it ends every process.
+/// Fleet of processes on loopback; dropping it kills all of them.
 #[derive(Debug)]
 pub struct Fleet {
-    /// Files of the fleet: settings, bundles, logs.
+    /// Directory of settings, keys, bundles and logs.
     pub dir: TempDir,
-    /// Platform's address.
+    /// Address of the platform.
     pub platform: SocketAddr,
     /// Platform process.
     pub platform_process: Process,
-    /// Upstreams in the order of the shape.
+    /// Upstreams in the order of the configured services.
     pub upstreams: Vec<UpstreamProcess>,
-    /// Boxes by number.
+    /// Boxes by index.
     pub boxes: Vec<BoxProcess>,
-    /// Client for control.
+    /// HTTP client for control and admin ports.
     pub client: Client,
-    shape: Shape,
+    config: FleetConfig,
     public_key: String,
 }
 
 impl Fleet {
-    /// Starts platform, upstreams and boxes, and gives the list to the platform.
+    /// Starts platform, upstreams and boxes and publishes the list.
     ///
-    /// No bundle is rolled out yet.
+    /// No bundle is rolled out yet, so that the boxes are not ready.
     ///
     /// # Errors
     /// Returns an error if a program can't be started.
-    pub async fn start(shape: Shape) -> Result<Self> {
+    pub async fn start(config: FleetConfig) -> Result<Self> {
         let dir = tempfile::tempdir()?;
         let client = Client::builder().no_proxy().timeout(Duration::from_secs(10)).build()?;
         let platform = free_port()?;
-        let lag = shape.list_lag.as_millis().to_string();
+        let lag = config.list_lag.as_millis().to_string();
         let args = [platform.to_string(), "--lag-ms".to_owned(), lag];
         let platform_process = Process::start("standin-platform", &args, dir.path(), "platform")?;
         let mut fleet = Self {
@@ -92,39 +92,39 @@
             client,
             public_key: String::new(),
             dir,
-            shape,
+            config,
         };
-        fleet.make_key("alice")?;
+        fleet.generate_key("alice")?;
         fleet.start_upstreams()?;
-        for i in 0..fleet.shape.boxes {
+        for i in 0..fleet.config.boxes {
             let b = fleet.start_box(i, &[])?;
             fleet.boxes.push(b);
         }
-        fleet.write_operator()?;
+        fleet.write_operator_settings()?;
         if let Err(e) = fleet.wait_platform().await {
-            return Err(e.wrap_err(fleet.ended()));
+            return Err(e.wrap_err(fleet.describe_exited()));
         }
-        fleet.publish().await?;
+        fleet.publish_roster().await?;
         Ok(fleet)
     }
 
-    /// Starts a fleet and rolls its first bundle out everywhere.
+    /// Starts a fleet, rolls out its first bundle and waits for readiness.
     ///
     /// # Errors
-    /// Returns an error if a program can't be started or a box does not get ready.
-    pub async fn ready(shape: Shape) -> Result<Self> {
-        let mut fleet = Self::start(shape).await?;
-        let path = fleet.write_bundle("fleet.ini", &fleet.shape.bundle())?;
+    /// Returns an error if a program can't be started or a box does not become ready.
+    pub async fn start_ready(config: FleetConfig) -> Result<Self> {
+        let mut fleet = Self::start(config).await?;
+        let path = fleet.write_bundle("fleet.ini", &fleet.config.bundle_text())?;
         fleet.sign(&path, "alice")?;
-        let out = fleet.operator(&[
+        let out = fleet.run_operator(&[
             "roll-out",
             path_str(&path),
             "--settings",
-            &fleet.operator_ini(),
+            &fleet.operator_settings(),
             "--wait",
         ])?;
-        if let Err(e) = check(&out) {
-            return Err(e.wrap_err(fleet.ended()));
+        if let Err(e) = check_success(&out) {
+            return Err(e.wrap_err(fleet.describe_exited()));
         }
         for i in 0..fleet.boxes.len() {
             fleet.wait_ready(i).await?;
@@ -132,37 +132,37 @@
         Ok(fleet)
     }
 
-    /// Names the processes that have ended, with their last words.
-    fn ended(&mut self) -> String {
+    /// Describes the processes that have exited, each with the last line of its log.
+    fn describe_exited(&mut self) -> String {
         let boxes = self.boxes.iter_mut().map(|b| &mut b.process);
         let upstreams = self.upstreams.iter_mut().map(|u| &mut u.process);
         let all = boxes.chain(upstreams).chain([&mut self.platform_process]);
-        let ended = all.filter_map(|p| p.ended().map(|s| (s, p.log.clone())));
-        let word = |(s, log): (std::process::ExitStatus, PathBuf)| {
+        let exited = all.filter_map(|p| p.ended().map(|s| (s, p.log.clone())));
+        let describe = |(s, log): (std::process::ExitStatus, PathBuf)| {
             let text = std::fs::read_to_string(&log).unwrap_or_default();
             format!("{}: {s}: {}", log.display(), text.lines().last().unwrap_or_default())
         };
-        let words: Vec<String> = ended.map(word).collect();
-        format!("{} processes have ended; {}", words.len(), words.join("; "))
+        let descriptions: Vec<String> = exited.map(describe).collect();
+        format!("{} processes have exited: {}", descriptions.len(), descriptions.join("; "))
     }
 
-    /// Starts one more process for box `i`, as at first or as a replacement.
+    /// Starts a process for box `i`, either its first one or a replacement.
     ///
     /// # Errors
-    /// Returns an error if it can't be started.
+    /// Returns an error if the process can't be started.
     pub fn start_box(&self, i: usize, seeds: &[SocketAddr]) -> Result<BoxProcess> {
         let name = format!("box{i}");
-        let hall = format!("hall{}", i % self.shape.halls);
+        let hall = format!("hall{}", i % self.config.halls);
         let (listen, admin, peer) = (free_port()?, free_port()?, free_port()?);
         let source = Ipv4Addr::new(127, 0, 1, (i % 250 + 1) as u8);
         let seeds = seeds.iter().map(ToString::to_string).collect::<Vec<_>>().join(",");
         let seeds = if seeds.is_empty() { seeds } else { format!("seeds = {seeds}\n") };
-        let leave = self.shape.leave_wait.as_millis();
+        let leave = self.config.leave_wait.as_millis();
         let text = format!(
             "[box]\nname = {name}\nhall = {hall}\nlisten = {listen}\npeer = {peer}\nadmin = {admin}\n\
              platform = {}\nsource = {source}\nfleet-key = {FLEET_KEY}\nleave-wait = {leave}ms\n{seeds}{}\
              [signers]\nalice = {}\n",
-            self.platform, self.shape.box_lines, self.public_key
+            self.platform, self.config.box_settings, self.public_key
         );
         let path = self.dir.path().join(format!("{name}-{}.ini", listen.port()));
         std::fs::write(&path, text)?;
@@ -173,14 +173,14 @@
     }
 
     fn start_upstreams(&mut self) -> Result<()> {
-        for (service, n) in self.shape.services.clone() {
+        for (service, n) in self.config.services.clone() {
             for i in 0..n {
                 let name = format!("{service}-{i}");
                 let (listen, control) = (free_port()?, free_port()?);
                 let mut args = vec![name.clone(), listen.to_string(), control.to_string()];
-                args.extend(self.shape.upstream_args.iter().cloned());
+                args.extend(self.config.upstream_args.iter().cloned());
                 let process = Process::start("standin-upstream", &args, self.dir.path(), &name)?;
-                let hall = format!("hall{}", i % self.shape.halls);
+                let hall = format!("hall{}", i % self.config.halls);
                 let (addr, state) = (listen.to_string(), MemberState::Live);
                 let member = Member { name, service: service.clone(), addr, hall, state };
                 self.upstreams.push(UpstreamProcess { member, control, process });
@@ -189,11 +189,11 @@
         Ok(())
     }
 
-    /// Gives the list of all processes to the platform.
+    /// Publishes the list of all boxes and upstreams on the platform.
     ///
     /// # Errors
-    /// Returns an error if the platform does not take it.
-    pub async fn publish(&self) -> Result<()> {
+    /// Returns an error if the platform does not accept it.
+    pub async fn publish_roster(&self) -> Result<()> {
         let roster = Roster {
             boxes: self.boxes.iter().map(|b| b.entry.clone()).collect(),
             upstreams: self.upstreams.iter().map(|u| u.member.clone()).collect(),
@@ -203,17 +203,17 @@
         Ok(())
     }
 
-    /// Switches the platform's failures.
+    /// Sets the faults that the platform simulates.
     ///
     /// # Errors
     /// Returns an error if the platform does not answer.
-    pub async fn switch_platform(&self, s: PlatformSwitches) -> Result<()> {
+    pub async fn set_platform_faults(&self, s: PlatformSwitches) -> Result<()> {
         let url = format!("http://{}/faults", self.platform);
         self.client.put(url).body(serde_json::to_vec(&s)?).send().await?.error_for_status()?;
         Ok(())
     }
 
-    /// Copies the platform's objects, for [`Fleet::restore_platform`].
+    /// Backs up the platform's objects for [`Fleet::restore_platform`].
     ///
     /// # Errors
     /// Returns an error if the platform does not answer.
@@ -223,17 +223,17 @@
         Ok(())
     }
 
-    /// Restores the platform's objects from the last copy.
+    /// Restores the platform's objects from the last backup.
     ///
     /// # Errors
-    /// Returns an error if there is no copy, or the platform does not answer.
+    /// Returns an error if there is no backup or the platform does not answer.
     pub async fn restore_platform(&self) -> Result<()> {
         let url = format!("http://{}/restore", self.platform);
         self.client.put(url).send().await?.error_for_status()?;
         Ok(())
     }
 
-    /// Returns how often the platform was called.
+    /// Returns the number of calls that the platform received.
     ///
     /// # Errors
     /// Returns an error if the platform does not answer.
@@ -242,26 +242,26 @@
         Ok(self.client.get(url).send().await?.json().await?)
     }
 
-    /// Switches an upstream's failures.
+    /// Sets the faults that an upstream simulates.
     ///
     /// # Errors
     /// Returns an error if the upstream does not answer.
-    pub async fn switch(&self, upstream: usize, s: &Switches) -> Result<()> {
+    pub async fn set_upstream_faults(&self, upstream: usize, s: &Switches) -> Result<()> {
         let url = format!("http://{}/switches", self.upstreams[upstream].control);
         self.client.put(url).body(serde_json::to_vec(s)?).send().await?.error_for_status()?;
         Ok(())
     }
 
-    /// Returns what an upstream ran.
+    /// Returns the journal of an upstream.
     ///
     /// # Errors
     /// Returns an error if the upstream does not answer.
-    pub async fn journal(&self, upstream: usize) -> Result<JournalPage> {
+    pub async fn journal(&self, upstream: usize) -> Result<JournalSnapshot> {
         let url = format!("http://{}/journal", self.upstreams[upstream].control);
         Ok(self.client.get(url).send().await?.json().await?)
     }
 
-    /// Returns a box's status over its operators' port.
+    /// Returns the status of a box from its admin port.
     ///
     /// # Errors
     /// Returns an error if the box does not answer.
@@ -270,7 +270,7 @@
         Ok(self.client.get(url).send().await?.json().await?)
     }
 
-    /// Returns whether a box is ready, and what it says.
+    /// Returns whether a box is ready, and the text of its answer.
     ///
     /// # Errors
     /// Returns an error if the box does not answer.
@@ -283,17 +283,17 @@
     /// Waits until a box is ready.
     ///
     /// # Errors
-    /// Returns an error with the box's last word if it does not get ready.
+    /// Returns an error if it does not become ready in time.
     pub async fn wait_ready(&self, i: usize) -> Result<()> {
         let what = format!("{} is ready", self.boxes[i].entry.name);
-        until(&what, START_TIME, async || self.readiness(i).await.is_ok_and(|(r, _)| r)).await
+        until(&what, START_TIMEOUT, async || self.readiness(i).await.is_ok_and(|(r, _)| r)).await
     }
 
     async fn wait_platform(&self) -> Result<()> {
-        until("the platform answers", START_TIME, async || self.calls().await.is_ok()).await
+        until("the platform answers", START_TIMEOUT, async || self.calls().await.is_ok()).await
     }
 
-    /// Writes a bundle's file.
+    /// Writes the text of a bundle into a file of the fleet's directory.
     ///
     /// # Errors
     /// Returns an error if it can't be written.
@@ -303,127 +303,132 @@
         Ok(path)
     }
 
-    /// Signs a bundle's file off.
+    /// Signs a bundle file with the key of `name`.
     ///
     /// # Errors
-    /// Returns an error if the operators' command fails.
+    /// Returns an error if the command fails.
     pub fn sign(&self, bundle: &Path, name: &str) -> Result<()> {
         let key = self.dir.path().join(format!("{name}.key"));
         let args = ["bundle", "sign", path_str(bundle), "--name", name, "--key", path_str(&key)];
-        check(&self.operator(&args)?)
+        check_success(&self.run_operator(&args)?)
     }
 
-    /// Runs the operators' command.
+    /// Runs the command-line tool `honeypulley`.
     ///
     /// # Errors
-    /// Returns an error if it can't be started; its own failure is in the output.
-    pub fn operator(&self, args: &[&str]) -> Result<Output> {
+    /// Returns an error if it can't be started. Its exit status is in the output.
+    pub fn run_operator(&self, args: &[&str]) -> Result<Output> {
         Command::new(program("honeypulley")?).args(args).output().wrap_err("run honeypulley")
     }
 
-    /// Returns the path of the operators' settings.
+    /// Returns the path of the settings for the command-line tool.
     #[must_use]
-    pub fn operator_ini(&self) -> String {
+    pub fn operator_settings(&self) -> String {
         path_str(&self.dir.path().join("operator.ini")).to_owned()
     }
 
-    /// Returns the shape that the fleet was started with.
+    /// Returns the configuration that the fleet was started with.
     #[must_use]
-    pub const fn shape(&self) -> &Shape {
-        &self.shape
+    pub const fn config(&self) -> &FleetConfig {
+        &self.config
     }
 
-    fn write_operator(&self) -> Result<()> {
+    fn write_operator_settings(&self) -> Result<()> {
         let seeds: Vec<&str> = self.boxes.iter().take(3).map(|b| b.entry.peer.as_str()).collect();
         let (platform, seeds) = (self.platform, seeds.join(","));
         let text = format!(
             "[operator]\nplatform = {platform}\nfleet-key = {FLEET_KEY}\nseeds = {seeds}\n"
         );
-        std::fs::write(self.operator_ini(), text)?;
+        std::fs::write(self.operator_settings(), text)?;
         Ok(())
     }
 
-    fn make_key(&mut self, name: &str) -> Result<()> {
+    fn generate_key(&mut self, name: &str) -> Result<()> {
         let key = self.dir.path().join(format!("{name}.key"));
-        let out = self.operator(&["keygen", "--name", name, "--key", path_str(&key)])?;
-        check(&out)?;
+        let out = self.run_operator(&["keygen", "--name", name, "--key", path_str(&key)])?;
+        check_success(&out)?;
         let line = String::from_utf8_lossy(&out.stdout).trim().to_owned();
-        let public = line.split_once(" = ").ok_or_else(|| eyre!("keygen printed {line}"))?.1;
+        let public =
+            line.split_once(" = ").ok_or_else(|| eyre!("unexpected output of keygen: {line}"))?.1;
         public.clone_into(&mut self.public_key);
         Ok(())
     }
 }
 
-/// Waits until `done` holds.
+/// Polls `done` until it returns true.
 ///
 /// # Errors
-/// Returns an error naming `what` if it does not hold within `most`.
-pub async fn until(what: &str, most: Duration, done: impl AsyncFn() -> bool) -> Result<()> {
+/// Returns an error with `what` if it does not do so within `timeout`.
+pub async fn until(what: &str, timeout: Duration, done: impl AsyncFn() -> bool) -> Result<()> {
     let began = Instant::now();
     while !done().await {
-        if began.elapsed() > most {
-            bail!("not within {most:?}: {what}");
+        if began.elapsed() > timeout {
+            bail!("timed out after {timeout:?}: {what}");
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     Ok(())
 }
 
-/// Turns a failed run of the operators' command into an error.
+/// Returns an error if a command exited unsuccessfully.
 ///
 /// # Errors
-/// Returns what it printed on standard error.
-pub fn check(out: &Output) -> Result<()> {
+/// Returns its standard error as the error.
+pub fn check_success(out: &Output) -> Result<()> {
     if !out.status.success() {
         bail!("{}", String::from_utf8_lossy(&out.stderr).trim());
     }
     Ok(())
 }
 
-/// Ports that a fleet takes, below those that the kernel gives to outgoing
-/// connections, so that nobody else is given one between choice and use.
+/// Range of ports for test fleets.
+///
+/// It lies below the kernel's range for outgoing connections, so that the kernel
+/// assigns none of them between the choice of a port and its use.
 const PORTS: std::ops::Range<u16> = 10_000..32_000;
 
-/// Ports given out by this process. Tests start fleets side by side, and a port
-/// is free to see until its program has bound it; the ports are the machine's,
-/// so their ledger is the process's.
-static GIVEN: Mutex<BTreeSet<u16>> = Mutex::new(BTreeSet::new());
+/// Ports that this process has allocated.
+///
+/// Tests start fleets concurrently, and a port looks free until the program that
+/// it was allocated for has bound it. Ports are shared by the whole machine, so
+/// the set is shared by all fleets of the process.
+static ALLOCATED_PORTS: Mutex<BTreeSet<u16>> = Mutex::new(BTreeSet::new());
 
-/// Returns a port on loopback that is free for TCP and UDP just now.
+/// Allocates a loopback port that is free for both TCP and UDP.
 ///
 /// # Errors
-/// Returns an error if none can be bound.
+/// Returns an error if no free port is found.
 pub fn free_port() -> Result<SocketAddr> {
-    let mut given = GIVEN.lock().unwrap_or_else(PoisonError::into_inner);
+    let mut allocated = ALLOCATED_PORTS.lock().unwrap_or_else(PoisonError::into_inner);
     let loopback = |port| SocketAddr::from((Ipv4Addr::LOCALHOST, port));
     let is_free = |port| {
         let addr = loopback(port);
         TcpListener::bind(addr).is_ok() && UdpSocket::bind(addr).is_ok()
     };
-    let port = choose_port(&mut given, || fastrand::u16(PORTS), is_free);
-    port.map(loopback).ok_or_else(|| eyre!("no free port"))
+    let port = choose_port(&mut allocated, || fastrand::u16(PORTS), is_free);
+    port.map(loopback).ok_or_else(|| eyre!("no free port found in {PORTS:?}"))
 }
 
-/// Chooses a port that was not given out before; `None` if a thousand draws find none.
+/// Chooses a port that was not allocated before; `None` after a thousand failed draws.
 ///
-/// A port that was given out is never tried: for that moment the program that it was given
-/// to could not bind it.
+/// An allocated port is never probed, because its program could not bind it during
+/// the probe.
 pub fn choose_port(
-    given: &mut BTreeSet<u16>,
+    allocated: &mut BTreeSet<u16>,
     mut draw: impl FnMut() -> u16,
     mut is_free: impl FnMut(u16) -> bool,
 ) -> Option<u16> {
     (0..1_000).find_map(|_| {
         let port = draw();
-        (given.insert(port) && is_free(port)).then_some(port)
+        (allocated.insert(port) && is_free(port)).then_some(port)
     })
 }
 
 /// Returns a path as text.
 ///
 /// # Panics
-/// Panics if it is not UTF-8, which paths made here are.
+/// Panics if the path is not valid UTF-8. Paths of test fleets always are.
 #[must_use]
 pub fn path_str(p: &Path) -> &str {
-    p.to_str().expect("made here from UTF-8")
+    p.to_str().expect("paths of test fleets are valid UTF-8")
 }
--- a/tools/fleet/src/process.rs
+++ b/tools/fleet/src/process.rs
@@ -1,4 +1,4 @@
-//! One started program.
+//! Child processes of a fleet.
 
 use eyre::{Result, WrapErr, eyre};
 use nix::sys::signal::{Signal, kill};
@@ -8,19 +8,19 @@
 use std::process::{Child, Command, ExitStatus, Stdio};
 use std::time::{Duration, Instant};
 
-/// A started program; dropping it kills it.
+/// Child process that is killed on drop.
 #[derive(Debug)]
 pub struct Process {
     child: Child,
-    /// Where its output goes.
+    /// File that receives its standard output and standard error.
     pub log: PathBuf,
 }
 
 impl Process {
-    /// Starts a program of this workspace, its output going to `NAME.log` in `dir`.
+    /// Starts a program of this workspace with its output in `LOG.log` in `dir`.
     ///
     /// # Errors
-    /// Returns an error if it isn't built or can't be started.
+    /// Returns an error if the program isn't built or can't be started.
     pub fn start(name: &str, args: &[String], dir: &Path, log: &str) -> Result<Self> {
         let log = dir.join(format!("{log}.log"));
         let out = OpenOptions::new().create(true).append(true).open(&log)?;
@@ -34,7 +34,7 @@
         Ok(Self { child, log })
     }
 
-    /// Returns the process's number.
+    /// Returns the process id.
     #[must_use]
     pub fn id(&self) -> u32 {
         self.child.id()
@@ -43,58 +43,58 @@
     /// Sends a signal.
     ///
     /// # Errors
-    /// Returns an error if the process is gone.
+    /// Returns an error if the process no longer exists.
     pub fn signal(&self, s: Signal) -> Result<()> {
         kill(Pid::from_raw(self.child.id() as i32), s).wrap_err("send a signal")
     }
 
-    /// Freezes the process.
+    /// Suspends the process with `SIGSTOP`.
     ///
     /// # Errors
-    /// Returns an error if the process is gone.
+    /// Returns an error if the process no longer exists.
     pub fn freeze(&self) -> Result<()> {
         self.signal(Signal::SIGSTOP)
     }
 
-    /// Lets a frozen process go on.
+    /// Resumes a suspended process with `SIGCONT`.
     ///
     /// # Errors
-    /// Returns an error if the process is gone.
+    /// Returns an error if the process no longer exists.
     pub fn thaw(&self) -> Result<()> {
         self.signal(Signal::SIGCONT)
     }
 
-    /// Begins a planned stop.
+    /// Requests a graceful shutdown with `SIGTERM`.
     ///
     /// # Errors
-    /// Returns an error if the process is gone.
+    /// Returns an error if the process no longer exists.
     pub fn terminate(&self) -> Result<()> {
         self.signal(Signal::SIGTERM)
     }
 
-    /// Kills the process at once.
+    /// Kills the process with `SIGKILL` and reaps it.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Returns how the process ended, if it has.
+    /// Returns the exit status if the process has exited.
     pub fn ended(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
-    /// Waits for the process's end.
+    /// Waits until the process exits.
     ///
     /// # Errors
-    /// Returns an error if it goes on for longer than `most`.
-    pub async fn wait_end(&mut self, most: Duration) -> Result<ExitStatus> {
+    /// Returns an error if the process still runs after `timeout`.
+    pub async fn wait_end(&mut self, timeout: Duration) -> Result<ExitStatus> {
         let began = Instant::now();
         loop {
             if let Some(s) = self.ended() {
                 return Ok(s);
             }
-            if began.elapsed() > most {
-                return Err(eyre!("process {} goes on after {most:?}", self.id()));
+            if began.elapsed() > timeout {
+                return Err(eyre!("process {} still runs after {timeout:?}", self.id()));
             }
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
@@ -107,13 +107,13 @@
     }
 }
 
-/// Returns where a program of this workspace was built.
+/// Returns the path of a program that was built from this workspace.
 ///
 /// # Errors
 /// Returns an error if it isn't built.
 pub fn program(name: &str) -> Result<PathBuf> {
-    let me = std::env::current_exe()?;
-    // Tests and examples lie in a folder below the programs.
-    let found = me.ancestors().skip(1).take(2).map(|d| d.join(name)).find(|p| p.is_file());
-    found.ok_or_else(|| eyre!("{name} is not built; run `cargo build --workspace --bins` first"))
+    let current = std::env::current_exe()?;
+    // Cargo puts tests and examples into a directory below that of the programs.
+    let path = current.ancestors().skip(1).take(2).map(|d| d.join(name)).find(|p| p.is_file());
+    path.ok_or_else(|| eyre!("{name} is not built; run `cargo build --workspace --bins` first"))
 }
--- a/tools/fleet/src/shape.rs
+++ b/tools/fleet/src/shape.rs
@@ -1,34 +1,34 @@
-//! What a fleet consists of.
+//! Configuration of a test fleet.
 
 use std::fmt::Write as _;
 use std::time::Duration;
 
-/// The shared key of fleets on loopback.
+/// Fleet key of all test fleets.
 pub const FLEET_KEY: &str = "loopback-fleet-key-0001";
 
-/// What a fleet consists of.
+/// Configuration of a test fleet.
 #[derive(Clone, Debug)]
-pub struct Shape {
-    /// Services with their number of upstreams.
+pub struct FleetConfig {
+    /// Name and number of upstreams of each service.
     pub services: Vec<(String, usize)>,
-    /// Boxes.
+    /// Number of boxes.
     pub boxes: usize,
-    /// Data halls.
+    /// Number of data halls; boxes and upstreams are assigned to them in turn.
     pub halls: usize,
-    /// Lag of the platform's list.
+    /// Delay until the platform shows a changed list.
     pub list_lag: Duration,
-    /// Time between readiness off and the close of the callers' port.
+    /// Time between the loss of readiness and the close of the callers' port.
     pub leave_wait: Duration,
-    /// More arguments of each upstream.
+    /// Additional arguments of each upstream process.
     pub upstream_args: Vec<String>,
-    /// More lines of each box's settings.
-    pub box_lines: String,
-    /// Lines of each service in the bundle, by name; see [`Shape::bundle`].
-    pub service_lines: Vec<(String, String)>,
+    /// Additional lines in the `[box]` section of each box's settings.
+    pub box_settings: String,
+    /// Bundle settings by service name; services without an entry use the defaults.
+    pub service_settings: Vec<(String, String)>,
 }
 
-impl Default for Shape {
-    /// Two boxes before three upstreams of `guestlist`.
+impl Default for FleetConfig {
+    /// Returns two boxes and three upstreams of the service `guestlist`.
     fn default() -> Self {
         Self {
             services: vec![("guestlist".to_owned(), 3)],
@@ -37,23 +37,24 @@
             list_lag: Duration::from_millis(100),
             leave_wait: Duration::from_millis(200),
             upstream_args: Vec::new(),
-            box_lines: String::new(),
-            service_lines: Vec::new(),
+            box_settings: String::new(),
+            service_settings: Vec::new(),
         }
     }
 }
 
-impl Shape {
+impl FleetConfig {
     /// Returns the text of a bundle for this fleet.
     ///
-    /// Each service is routed from `SERVICE.example/`.
+    /// Requests for the host `SERVICE.example` are routed to `SERVICE`.
     #[must_use]
-    pub fn bundle(&self) -> String {
+    pub fn bundle_text(&self) -> String {
         let mut text = String::new();
         for (name, _) in &self.services {
-            let own = self.service_lines.iter().find(|(n, _)| n == name).map(|(_, l)| l.as_str());
-            let usual = "floor = 60%\nrepeat = reads\ndeadline = 2s\nlean = detection\n";
-            let _ = writeln!(text, "[service {name}]\n{}", own.unwrap_or(usual));
+            let custom =
+                self.service_settings.iter().find(|(n, _)| n == name).map(|(_, l)| l.as_str());
+            let default = "floor = 60%\nrepeat = reads\ndeadline = 2s\nlean = detection\n";
+            let _ = writeln!(text, "[service {name}]\n{}", custom.unwrap_or(default));
         }
         text.push_str("[routes]\n");
         for (name, _) in &self.services {
--- a/tools/fleet/tests/common/mod.rs
+++ b/tools/fleet/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Callers that keep a record of what they were told.
+//! Load generator that records the outcome of every request, and checks of the record.
 
 use eyre::Result;
 use fleet::Fleet;
@@ -9,77 +9,79 @@
 use todc_utils::specifications::Specification;
 use todc_utils::{Action, History, WGLChecker};
 
-/// What a caller was told of one request.
+/// Outcome of a request as its caller sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Told {
-    /// An answer of an upstream, whole, with its text.
+pub enum Outcome {
+    /// Complete answer of an upstream: status and body.
     Answer(u16, String),
-    /// Refused, and surely not run.
+    /// Refused with the guarantee that it was not run.
     NotRun(u16),
-    /// No answer that says whether it was run.
+    /// Failed without an indication of whether it was run.
     Unknown(String),
 }
 
-/// Sends one request and sorts what comes back.
-pub async fn ask(client: &reqwest::Client, request: reqwest::RequestBuilder) -> Told {
+/// Sends a request and classifies the outcome.
+pub async fn send(client: &reqwest::Client, request: reqwest::RequestBuilder) -> Outcome {
     let built = match request.build() {
         Ok(r) => r,
-        Err(e) => return Told::Unknown(e.to_string()),
+        Err(e) => return Outcome::Unknown(e.to_string()),
     };
     let answer = match client.execute(built).await {
         Ok(a) => a,
-        Err(e) => return Told::Unknown(format!("{e:?}")),
+        Err(e) => return Outcome::Unknown(format!("{e:?}")),
     };
     let status = answer.status().as_u16();
     let header =
         |n: &str| answer.headers().get(n).map(|v| v.to_str().unwrap_or_default().to_owned());
     if header("honeypulley-not-run").is_some() {
-        return Told::NotRun(status);
+        return Outcome::NotRun(status);
     }
     if let Some(o) = header("honeypulley-outcome") {
-        return Told::Unknown(o);
+        return Outcome::Unknown(o);
     }
     match answer.text().await {
-        Ok(text) => Told::Answer(status, text),
-        Err(e) => Told::Unknown(format!("cut: {e:?}")),
+        Ok(text) => Outcome::Answer(status, text),
+        Err(e) => Outcome::Unknown(format!("body truncated: {e:?}")),
     }
 }
 
-/// Returns a client that retries nothing.
+/// Returns a client without retries.
 pub fn client() -> reqwest::Client {
     reqwest::Client::builder()
         .no_proxy()
         .retry(reqwest::retry::never())
         .timeout(Duration::from_secs(10))
         .build()
-        .expect("plain settings")
+        .expect("client settings are valid")
 }
 
-/// What callers did and were told, in the order of time.
-pub type Log = Arc<Mutex<Vec<(usize, Action<Op>)>>>;
+/// Calls and responses of all callers in order of time.
+pub type CallLog = Arc<Mutex<Vec<(usize, Action<Op>)>>>;
 
-/// One operation on the upstreams of a service, taken as one object.
+/// Operation on the upstreams of a service, modelled as a single object.
 #[derive(Clone, Debug)]
 pub enum Op {
-    /// A request by its number, and what came of it.
-    Run(usize, Option<Came>),
-    /// A reading of all journals: how often each request ran.
+    /// A request by its number, with its result once known.
+    Run(usize, Option<Completion>),
+    /// A read of all journals: number of executions by request.
     Journal(Option<BTreeMap<usize, u32>>),
 }
 
-/// What came of a request.
+/// Result of a request for the checker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Came {
-    /// Answered, with the number of the request that the answer is for.
+pub enum Completion {
+    /// Answered; holds the number of the request that the answer names.
     Answered(usize),
-    /// Told that it was not run.
+    /// Refused with the guarantee that it was not run.
     NotRun,
-    /// Not known to the caller; the journals say that it ran, or that it did not.
+    /// Unknown to the caller; holds whether the journals contain the request.
     Unknown(bool),
 }
 
-/// Each request runs once if answered and never if told so; each answer is its
-/// own request's; nothing runs that nobody asked for.
+/// Sequential specification of requests that run at most once.
+///
+/// An answered request ran exactly once and its answer names it. A request that was
+/// reported as not run did not run. Nothing else ran.
 pub struct RunOnce;
 
 impl Specification for RunOnce {
@@ -97,95 +99,101 @@
             (!state.contains_key(&id), next)
         };
         match op {
-            Op::Run(id, Some(Came::Answered(of))) if id == of => ran(*id),
-            Op::Run(id, Some(Came::Unknown(true))) => ran(*id),
-            Op::Run(_, Some(Came::NotRun | Came::Unknown(false))) => (true, state.clone()),
-            Op::Journal(Some(read)) => (read == state, state.clone()),
+            Op::Run(id, Some(Completion::Answered(answered_id))) if id == answered_id => ran(*id),
+            Op::Run(id, Some(Completion::Unknown(true))) => ran(*id),
+            Op::Run(_, Some(Completion::NotRun | Completion::Unknown(false))) => {
+                (true, state.clone())
+            }
+            Op::Journal(Some(found)) => (found == state, state.clone()),
             _ => (false, state.clone()),
         }
     }
 }
 
-/// Tells whether a history with its journals is linearizable as [`RunOnce`].
+/// Returns whether a history with its journals is linearizable as [`RunOnce`].
 pub fn is_run_once(
-    log: &Log,
-    told: &BTreeMap<String, Told>,
+    log: &CallLog,
+    outcomes: &BTreeMap<String, Outcome>,
     runs: &BTreeMap<String, u32>,
     prefix: &str,
 ) -> bool {
     let number = |id: &str| id.strip_prefix(prefix).and_then(|n| n.parse::<usize>().ok());
-    let journal: BTreeMap<usize, u32> =
+    let executions: BTreeMap<usize, u32> =
         runs.iter().filter_map(|(id, n)| Some((number(id)?, *n))).collect();
-    let came = |id: usize| match &told[&format!("{prefix}{id}")] {
-        Told::NotRun(_) => Came::NotRun,
-        Told::Answer(200, text) => {
-            let of = text.split('"').nth(7).and_then(number);
-            Came::Answered(of.unwrap_or(usize::MAX))
+    let completion = |id: usize| match &outcomes[&format!("{prefix}{id}")] {
+        Outcome::NotRun(_) => Completion::NotRun,
+        Outcome::Answer(200, text) => {
+            let answered_id = text.split('"').nth(7).and_then(number);
+            Completion::Answered(answered_id.unwrap_or(usize::MAX))
+        }
+        Outcome::Answer(..) | Outcome::Unknown(_) => {
+            Completion::Unknown(executions.contains_key(&id))
         }
-        Told::Answer(..) | Told::Unknown(_) => Came::Unknown(journal.contains_key(&id)),
     };
-    let mut actions: Vec<(usize, Action<Op>)> = log.lock().expect("no panic").clone();
+    let mut actions: Vec<(usize, Action<Op>)> = log.lock().expect("lock is not poisoned").clone();
     for (_, a) in &mut actions {
-        if let Action::Response(Op::Run(id, known)) = a {
-            *known = Some(came(*id));
+        if let Action::Response(Op::Run(id, result)) = a {
+            *result = Some(completion(*id));
         }
     }
-    let reader = actions.len();
-    actions.push((reader, Action::Call(Op::Journal(None))));
-    actions.push((reader, Action::Response(Op::Journal(Some(journal)))));
+    let journal_reader = actions.len();
+    actions.push((journal_reader, Action::Call(Op::Journal(None))));
+    actions.push((journal_reader, Action::Response(Op::Journal(Some(executions)))));
     WGLChecker::<RunOnce>::is_linearizable(History::from_actions(actions))
 }
 
-/// Sends `n` requests, `gap` apart, round the boxes; returns what was told by id.
+/// Sends `n` requests to the boxes in turn, one every `interval`.
+///
+/// Returns the outcomes by request id.
 pub async fn load(
     fleet: &Fleet,
-    to: &[SocketAddr],
+    targets: &[SocketAddr],
     method: reqwest::Method,
     prefix: &str,
     n: usize,
-    gap: Duration,
-) -> Result<BTreeMap<String, Told>> {
-    Ok(load_logged(fleet, to, method, prefix, n, gap).await?.0)
+    interval: Duration,
+) -> Result<BTreeMap<String, Outcome>> {
+    Ok(load_with_history(fleet, targets, method, prefix, n, interval).await?.0)
 }
 
-/// Does as [`load`] and returns the history of calls and responses too.
-pub async fn load_logged(
+/// Sends requests like [`load`] and also returns the history for the checker.
+pub async fn load_with_history(
     fleet: &Fleet,
-    to: &[SocketAddr],
+    targets: &[SocketAddr],
     method: reqwest::Method,
     prefix: &str,
     n: usize,
-    gap: Duration,
-) -> Result<(BTreeMap<String, Told>, Log)> {
-    let log = Log::default();
+    interval: Duration,
+) -> Result<(BTreeMap<String, Outcome>, CallLog)> {
+    let log = CallLog::default();
     let client = client();
-    let host = format!("{}.example", fleet.shape().services[0].0);
-    let mut tick = tokio::time::interval(gap);
-    let mut open = Vec::new();
+    let host = format!("{}.example", fleet.config().services[0].0);
+    let mut tick = tokio::time::interval(interval);
+    let mut in_flight = Vec::new();
     for i in 0..n {
         tick.tick().await;
         let id = format!("{prefix}{i}");
-        let url = format!("http://{}/x?size=2000", to[i % to.len()]);
+        let url = format!("http://{}/x?size=2000", targets[i % targets.len()]);
         let request =
             client.request(method.clone(), url).header("host", &host).header("x-request-id", &id);
         let client = client.clone();
         let log = Arc::clone(&log);
-        let asking = async move {
-            log.lock().expect("no panic").push((i, Action::Call(Op::Run(i, None))));
-            let told = ask(&client, request).await;
-            log.lock().expect("no panic").push((i, Action::Response(Op::Run(i, None))));
-            told
+        let call = async move {
+            log.lock().expect("lock is not poisoned").push((i, Action::Call(Op::Run(i, None))));
+            let outcome = send(&client, request).await;
+            log.lock().expect("lock is not poisoned").push((i, Action::Response(Op::Run(i, None))));
+            outcome
         };
-        open.push((id, tokio::spawn(asking)));
+        in_flight.push((id, tokio::spawn(call)));
     }
-    let mut told = BTreeMap::new();
-    for (id, o) in open {
-        told.insert(id, o.await?);
+    let mut outcomes = BTreeMap::new();
+    for (id, call) in in_flight {
+        outcomes.insert(id, call.await?);
     }
-    Ok((told, log))
+    Ok((outcomes, log))
 }
 
-/// Returns how often each request ran, over all upstreams.
+/// Returns the number of executions by request id, over all upstreams.
 pub async fn runs(fleet: &Fleet) -> Result<BTreeMap<String, u32>> {
     let mut all = BTreeMap::new();
     for i in 0..fleet.upstreams.len() {
@@ -196,27 +204,34 @@
     Ok(all)
 }
 
-/// Checks own answers, whole; no double runs; no run behind a refusal.
-pub fn check_told(told: &BTreeMap<String, Told>, runs: &BTreeMap<String, u32>, once: bool) {
-    for (id, t) in told {
+/// Checks outcomes against executions.
+///
+/// Answers must be complete and belong to their requests, and requests that were
+/// reported as not run must not have run. With `at_most_once`, none may run twice.
+pub fn check_outcomes(
+    outcomes: &BTreeMap<String, Outcome>,
+    runs: &BTreeMap<String, u32>,
+    at_most_once: bool,
+) {
+    for (id, t) in outcomes {
         let n = runs.get(id).copied().unwrap_or(0);
-        assert!(!once || n <= 1, "{id} ran {n} times, told {t:?}");
+        assert!(!at_most_once || n <= 1, "{id} ran {n} times; outcome {t:?}");
         match t {
-            Told::NotRun(_) => assert_eq!(n, 0, "{id} was told not run"),
-            Told::Answer(200, text) => {
+            Outcome::NotRun(_) => assert_eq!(n, 0, "{id} was reported as not run"),
+            Outcome::Answer(200, text) => {
                 assert!(
                     text.contains(&format!("\"request\":\"{id}\"")),
-                    "{id} got the answer of another"
+                    "{id} got the answer to another request"
                 );
-                assert!(text.ends_with(&"x".repeat(2_000)), "{id} got a shortened answer");
-                assert!(n >= 1, "{id} was answered without having run");
+                assert!(text.ends_with(&"x".repeat(2_000)), "{id} got a truncated answer");
+                assert!(n >= 1, "{id} was answered but did not run");
             }
-            Told::Answer(..) | Told::Unknown(_) => {}
+            Outcome::Answer(..) | Outcome::Unknown(_) => {}
         }
     }
 }
 
 /// Counts the answers with status 200.
-pub fn answered(told: &BTreeMap<String, Told>) -> usize {
-    told.values().filter(|t| matches!(t, Told::Answer(200, _))).count()
+pub fn count_answered(outcomes: &BTreeMap<String, Outcome>) -> usize {
+    outcomes.values().filter(|t| matches!(t, Outcome::Answer(200, _))).count()
 }
--- a/tools/fleet/tests/ports.rs
+++ b/tools/fleet/tests/ports.rs
@@ -1,22 +1,24 @@
-//! Ports given to programs that tests start.
+//! Allocation of ports for the programs that tests start.
 
 use fleet::choose_port;
 use std::collections::BTreeSet;
 
-/// A box could not bind its port while another test tried whether that was free.
+/// Guards against probing an allocated port.
+///
+/// A box that bound its port during such a probe by another test failed to start.
 #[test]
-fn a_port_that_was_given_out_is_not_tried_again() {
-    let mut given = BTreeSet::from([10_001, 10_002]);
-    let mut drawn = [10_001, 10_002, 10_003, 10_004].into_iter();
-    let mut tried = Vec::new();
+fn an_allocated_port_is_not_probed_again() {
+    let mut allocated = BTreeSet::from([10_001, 10_002]);
+    let mut candidates = [10_001, 10_002, 10_003, 10_004].into_iter();
+    let mut probed = Vec::new();
     let port = choose_port(
-        &mut given,
-        || drawn.next().expect("four draws are enough"),
+        &mut allocated,
+        || candidates.next().expect("chosen within four draws"),
         |p| {
-            tried.push(p);
+            probed.push(p);
             p == 10_004
         },
     );
     assert_eq!(port, Some(10_004));
-    assert_eq!(tried, [10_003, 10_004], "only ports that nobody has");
+    assert_eq!(probed, [10_003, 10_004], "only unallocated ports are probed");
 }
