--- a/tools/measure/src/main.rs
+++ b/tools/measure/src/main.rs
@@ -1,9 +1,13 @@
-//! Prints the figures of docs/CAPACITY.md anew.
+//! Measures the figures of docs/CAPACITY.md.
 //!
-//! `overhead` pairs requests through one box with direct ones. `spread` times a
-//! bundle from acceptance to in force on every box. `full` puts a bundle of full size on boxes. `slopes` gives memory and
-//! processor time for each route, caller, service, upstream, report and member.
-//! Build with `--release`, programs first.
+//! - `overhead` compares the latency of requests through one box with direct ones.
+//! - `spread` measures the time from the acceptance of a bundle until it is in force
+//!   on every box.
+//! - `full` rolls out a bundle of full size on three boxes.
+//! - `slopes` measures memory and processor time for each route, caller, service,
+//!   upstream, report and member.
+//!
+//! Build all programs of the workspace with `--release` first.
 
 mod full;
 mod overhead;
@@ -14,42 +18,45 @@
 use clap::{Arg, ArgAction, Command, value_parser};
 use eyre::Result;
 
-/// Counts allocations, so that memory is reported exactly.
+/// Allocator that counts allocated bytes, for exact memory figures.
 #[global_allocator]
 static ALLOCATOR: cap::Cap<mimalloc::MiMalloc> = cap::Cap::new(mimalloc::MiMalloc, usize::MAX);
 
-/// Returns the bytes that are allocated now.
-fn allocated() -> f64 {
+/// Returns the number of bytes currently allocated.
+fn allocated_bytes() -> f64 {
     ALLOCATOR.allocated() as f64
 }
 
 #[tokio::main]
 async fn main() -> Result<()> {
-    let number = |name: &'static str, default: &'static str| {
+    let u64_arg = |name: &'static str, default: &'static str| {
         Arg::new(name).long(name).default_value(default).value_parser(value_parser!(u64))
     };
     let args = Command::new("measure")
-        .about("Prints the figures of docs/CAPACITY.md anew")
+        .about("Measures the figures of docs/CAPACITY.md")
         .subcommand_required(true)
         .subcommand(
-            Command::new("overhead").arg(number("seconds", "20")).arg(number("rate", "370")),
+            Command::new("overhead").arg(u64_arg("seconds", "20")).arg(u64_arg("rate", "370")),
         )
         .subcommand(
-            Command::new("spread").arg(number("boxes", "40")).arg(number("rounds", "10")).arg(
+            Command::new("spread").arg(u64_arg("boxes", "40")).arg(u64_arg("rounds", "10")).arg(
                 Arg::new("freeze")
                     .long("freeze")
                     .action(ArgAction::SetTrue)
-                    .help("Freezes two thirds of the relays"),
+                    .help("Suspend two thirds of the relays"),
             ),
         )
         .subcommand(Command::new("slopes"))
         .subcommand(Command::new("full"))
         .get_matches();
-    let (name, sub) = args.subcommand().expect("clap asks for one");
-    let get = |k: &str| *sub.get_one::<u64>(k).expect("has a default");
+    let (name, sub) = args.subcommand().expect("clap requires a subcommand");
+    let number_arg = |k: &str| *sub.get_one::<u64>(k).expect("has a default");
     match name {
-        "overhead" => overhead::run(get("rate"), get("seconds")).await,
-        "spread" => spread::run(get("boxes") as usize, get("rounds"), sub.get_flag("freeze")).await,
+        "overhead" => overhead::run(number_arg("rate"), number_arg("seconds")).await,
+        "spread" => {
+            spread::run(number_arg("boxes") as usize, number_arg("rounds"), sub.get_flag("freeze"))
+                .await
+        }
         "full" => full::run().await,
         _ => slopes::run(),
     }
--- a/tools/measure/src/overhead.rs
+++ b/tools/measure/src/overhead.rs
@@ -1,93 +1,96 @@
-//! Time added by one box, in pairs with direct requests.
+//! Latency added by a box, from pairs of direct and proxied requests.
 
 use crate::usage;
 use eyre::Result;
-use fleet::{Fleet, shape::Shape};
+use fleet::{Fleet, shape::FleetConfig};
 use hdrhistogram::Histogram;
 use std::time::{Duration, Instant};
 
-/// Connections left open without a request, to weigh one.
-const IDLE: usize = 2_000;
+/// Number of idle connections for the memory measurement.
+const IDLE_CONNECTIONS: usize = 2_000;
 
-/// Sends `rate` requests a second each way for `seconds`.
+/// Sends `rate` requests per second directly and as many through a box.
 ///
 /// # Errors
 /// Returns an error if the fleet does not start.
 pub async fn run(rate: u64, seconds: u64) -> Result<()> {
     let args = ["--slots", "64", "--work-ms", "2", "--connections", "1000"];
-    let fleet = Fleet::ready(Shape {
+    let fleet = Fleet::start_ready(FleetConfig {
         services: vec![("guestlist".to_owned(), 6)],
         boxes: 1,
         halls: 1,
         upstream_args: args.map(str::to_owned).to_vec(),
-        service_lines: vec![(
+        service_settings: vec![(
             "guestlist".to_owned(),
             "floor = 60%\nrepeat = reads\ndeadline = 2s\nconnections = 900\n".to_owned(),
         )],
-        ..Shape::default()
+        ..FleetConfig::default()
     })
     .await?;
     let pid = fleet.boxes[0].process.id();
     let direct = reqwest::Client::builder().no_proxy().build()?;
     let proxied = reqwest::Client::builder().no_proxy().build()?;
-    let idle = usage::cpu(pid)?;
+    let idle_cpu = usage::cpu_seconds(pid)?;
     tokio::time::sleep(Duration::from_secs(5)).await;
-    let idle = (usage::cpu(pid)? - idle) / 5.0;
-    let (cpu, began) = (usage::cpu(pid)?, Instant::now());
+    let idle_cpu = (usage::cpu_seconds(pid)? - idle_cpu) / 5.0;
+    let (cpu_before, began) = (usage::cpu_seconds(pid)?, Instant::now());
     let mut tick = tokio::time::interval(Duration::from_nanos(1_000_000_000 / rate));
-    let mut open = Vec::new();
+    let mut in_flight = Vec::new();
     for i in 0..(rate * seconds) as usize {
         tick.tick().await;
         let upstream = &fleet.upstreams[i % fleet.upstreams.len()].member.addr;
-        open.push((true, tokio::spawn(time(direct.get(format!("http://{upstream}/"))))));
-        let to = fleet.boxes[0].listen;
-        open.push((false, tokio::spawn(time(proxied.get(format!("http://{to}/"))))));
+        in_flight
+            .push((true, tokio::spawn(request_time(direct.get(format!("http://{upstream}/"))))));
+        let box_addr = fleet.boxes[0].listen;
+        in_flight
+            .push((false, tokio::spawn(request_time(proxied.get(format!("http://{box_addr}/"))))));
     }
-    let mut hist = [Histogram::<u64>::new(3)?, Histogram::<u64>::new(3)?];
-    for (is_direct, o) in open {
-        hist[usize::from(!is_direct)].record(o.await??.as_micros() as u64)?;
+    let mut histograms = [Histogram::<u64>::new(3)?, Histogram::<u64>::new(3)?];
+    for (is_direct, time) in in_flight {
+        histograms[usize::from(!is_direct)].record(time.await??.as_micros() as u64)?;
     }
-    let used = (usage::cpu(pid)? - cpu) / began.elapsed().as_secs_f64();
+    let cpu_load = (usage::cpu_seconds(pid)? - cpu_before) / began.elapsed().as_secs_f64();
     println!("| | median ms | p99 ms | p99.9 ms | max ms |\n|---|---|---|---|---|");
     let ms = |us: u64| us as f64 / 1e3;
-    for (name, h) in ["direct", "through a box"].iter().zip(&hist) {
-        let q = |x: f64| ms(h.value_at_quantile(x));
+    for (name, h) in ["direct", "through a box"].iter().zip(&histograms) {
+        let percentile_ms = |x: f64| ms(h.value_at_quantile(x));
         println!(
             "| {name} | {:.3} | {:.3} | {:.3} | {:.3} |",
-            q(0.5),
-            q(0.99),
-            q(0.999),
+            percentile_ms(0.5),
+            percentile_ms(0.99),
+            percentile_ms(0.999),
             ms(h.max())
         );
     }
-    let added = |x: f64| ms(hist[1].value_at_quantile(x)) - ms(hist[0].value_at_quantile(x));
-    println!("| added | {:.3} | {:.3} | {:.3} | |", added(0.5), added(0.99), added(0.999));
+    let added_ms =
+        |x: f64| ms(histograms[1].value_at_quantile(x)) - ms(histograms[0].value_at_quantile(x));
+    println!("| added | {:.3} | {:.3} | {:.3} | |", added_ms(0.5), added_ms(0.99), added_ms(0.999));
     println!(
-        "\nprocessor: {:.1}% of a core idle, {:.1}% at {rate}/s, {:.0} us a request",
-        idle * 100.0,
-        used * 100.0,
-        (used - idle) / rate as f64 * 1e6
+        "\nprocessor: {:.1}% of a core idle, {:.1}% at {rate}/s, {:.0} us per request",
+        idle_cpu * 100.0,
+        cpu_load * 100.0,
+        (cpu_load - idle_cpu) / rate as f64 * 1e6
     );
-    weigh_connections(&fleet, pid).await
+    measure_connections(&fleet, pid).await
 }
 
-async fn weigh_connections(fleet: &Fleet, pid: u32) -> Result<()> {
-    let before = usage::memory(pid)?;
-    let mut held = Vec::with_capacity(IDLE);
-    for _ in 0..IDLE {
-        held.push(tokio::net::TcpStream::connect(fleet.boxes[0].listen).await?);
+async fn measure_connections(fleet: &Fleet, pid: u32) -> Result<()> {
+    let before = usage::resident_bytes(pid)?;
+    let mut connections = Vec::with_capacity(IDLE_CONNECTIONS);
+    for _ in 0..IDLE_CONNECTIONS {
+        connections.push(tokio::net::TcpStream::connect(fleet.boxes[0].listen).await?);
     }
     tokio::time::sleep(Duration::from_millis(500)).await;
-    let after = usage::memory(pid)?;
+    let after = usage::resident_bytes(pid)?;
     println!(
-        "memory: {:.1} MB under load, {:.1} KB for each idle connection of a caller",
+        "memory: {:.1} MB under load, {:.1} KB per idle connection of a caller",
         before as f64 / 1e6,
-        (after.saturating_sub(before)) as f64 / IDLE as f64 / 1e3
+        (after.saturating_sub(before)) as f64 / IDLE_CONNECTIONS as f64 / 1e3
     );
     Ok(())
 }
 
-async fn time(request: reqwest::RequestBuilder) -> Result<Duration> {
+async fn request_time(request: reqwest::RequestBuilder) -> Result<Duration> {
     let request = request.header("host", "guestlist.example");
     let began = Instant::now();
     request.send().await?.error_for_status()?.bytes().await?;
--- a/tools/measure/src/slopes.rs
+++ b/tools/measure/src/slopes.rs
@@ -1,4 +1,4 @@
-//! Memory and processor time for each thing a box holds or does.
+//! Memory and processor time per entry that a box stores and per operation.
 
 use bytes::Bytes;
 use eyre::Result;
@@ -15,26 +15,26 @@
 use std::hint::black_box;
 use std::time::{Duration, Instant};
 
-/// Full size: services, routes, callers (organisations).
-pub const FULL: (usize, usize, usize) = (4_700, 82_000, 580_000);
-/// One region: services, upstreams of each, boxes.
+/// Full size: number of services, routes and callers (organisations).
+pub const FULL_SIZE: (usize, usize, usize) = (4_700, 82_000, 580_000);
+/// One region: number of services, upstreams per service and boxes.
 const REGION: (usize, usize, usize) = (671, 21, 657);
 
-/// Prints every slope.
+/// Measures and prints all unit costs.
 ///
 /// # Errors
-/// Returns an error if a figure can't be read.
+/// Returns an error if the generated bundle or list is not valid.
 pub fn run() -> Result<()> {
-    bundle()?;
-    router();
-    roster()?;
-    collector();
-    datagrams();
+    measure_bundle()?;
+    measure_router();
+    measure_roster()?;
+    measure_collector();
+    measure_datagrams();
     Ok(())
 }
 
-/// Returns the text of a bundle with so many services, routes and callers.
-pub fn text(services: usize, routes: usize, callers: usize) -> String {
+/// Returns the text of a bundle with the given number of entries.
+pub fn bundle_text(services: usize, routes: usize, callers: usize) -> String {
     let mut t = String::new();
     for i in 0..services {
         let _ = writeln!(
@@ -53,49 +53,53 @@
     t
 }
 
-fn bundle() -> Result<()> {
+fn measure_bundle() -> Result<()> {
     println!(
-        "## Bundle\n\n| services, routes, organisations | text MB | parts | largest part KB | manifest KB | check and split s | memory MB | one route changed: parts moved, ms to put in force |\n|---|---|---|---|---|---|---|---|"
+        "## Bundle\n\n| services, routes, organisations | text MB | parts | largest part KB | manifest KB | check and split s | memory MB | one route changed: parts changed, ms to apply |\n|---|---|---|---|---|---|---|---|"
     );
-    for share in [50, 10, 2, 1] {
-        let (s, r, c) = (FULL.0 / share, FULL.1 / share, FULL.2 / share);
-        let source = text(s, r, c);
+    for divisor in [50, 10, 2, 1] {
+        let (s, r, c) = (FULL_SIZE.0 / divisor, FULL_SIZE.1 / divisor, FULL_SIZE.2 / divisor);
+        let source = bundle_text(s, r, c);
         let began = Instant::now();
-        let (checked, cut) = Bundle::read("full.ini", &source)?;
+        let (checked, split_bundle) = Bundle::read("full.ini", &source)?;
         let read = began.elapsed();
         drop(checked);
-        // As a box holds it: from the parts, which it keeps for its peers.
-        let parts: Vec<Bytes> = cut.parts.iter().map(|p| Bytes::copy_from_slice(p)).collect();
-        drop(cut.parts);
-        let before = crate::allocated();
-        let held: Vec<Bytes> = parts.iter().map(|p| Bytes::copy_from_slice(p)).collect();
-        let bundle = Bundle::compose(None, &cut.manifest, |i| held.get(i).cloned())?;
-        let memory = crate::allocated() - before;
+        // A box composes the bundle from its parts and keeps these to send to peers.
+        let parts: Vec<Bytes> =
+            split_bundle.parts.iter().map(|p| Bytes::copy_from_slice(p)).collect();
+        drop(split_bundle.parts);
+        let before = crate::allocated_bytes();
+        let parts_by_index: Vec<Bytes> = parts.iter().map(|p| Bytes::copy_from_slice(p)).collect();
+        let bundle =
+            Bundle::compose(None, &split_bundle.manifest, |i| parts_by_index.get(i).cloned())?;
+        let bytes = crate::allocated_bytes() - before;
         let changed = source.replacen("h7.example/app7 = s7", "h7.example/app7 = s8", 1);
         let next = split("full.ini", &changed)?;
-        let moved = next.manifest.changes_from(&cut.manifest).map_or(0, |c| c.len());
+        let changed_parts =
+            next.manifest.changes_from(&split_bundle.manifest).map_or(0, |c| c.len());
         let began = Instant::now();
-        let after = Bundle::compose(Some((&bundle, &cut.manifest)), &next.manifest, |i| {
-            next.parts.get(i).cloned()
-        })?;
-        let took = began.elapsed();
+        let after =
+            Bundle::compose(Some((&bundle, &split_bundle.manifest)), &next.manifest, |i| {
+                next.parts.get(i).cloned()
+            })?;
+        let elapsed = began.elapsed();
         black_box(&after);
         let largest = parts.iter().map(Bytes::len).max().unwrap_or(0);
         println!(
-            "| {s}, {r}, {c} | {:.1} | {} | {:.1} | {:.0} | {:.2} | {:.1} | {moved}, {:.2} |",
+            "| {s}, {r}, {c} | {:.1} | {} | {:.1} | {:.0} | {:.2} | {:.1} | {changed_parts}, {:.2} |",
             source.len() as f64 / 1e6,
             parts.len(),
             largest as f64 / 1e3,
-            cut.manifest.to_bytes().len() as f64 / 1e3,
+            split_bundle.manifest.to_bytes().len() as f64 / 1e3,
             read.as_secs_f64(),
-            memory / 1e6,
-            took.as_secs_f64() * 1e3,
+            bytes / 1e6,
+            elapsed.as_secs_f64() * 1e3,
         );
     }
     Ok(())
 }
 
-fn members(services: usize, each: usize) -> Vec<Member> {
+fn members(services: usize, per_service: usize) -> Vec<Member> {
     let member = |s: usize, i: usize| Member {
         name: format!("s{s}-u{i}"),
         service: format!("s{s}"),
@@ -103,37 +107,40 @@
         hall: format!("hall{}", i % 4),
         state: MemberState::Live,
     };
-    (0..services).flat_map(|s| (0..each).map(move |i| (s, i))).map(|(s, i)| member(s, i)).collect()
+    (0..services)
+        .flat_map(|s| (0..per_service).map(move |i| (s, i)))
+        .map(|(s, i)| member(s, i))
+        .collect()
 }
 
-/// Runs `f` `n` times and returns the mean in nanoseconds.
-fn nanos(n: u32, mut f: impl FnMut(u32)) -> f64 {
+/// Calls `f` `n` times and returns the mean duration in nanoseconds.
+fn mean_nanos(n: u32, mut f: impl FnMut(u32)) -> f64 {
     let began = Instant::now();
     (0..n).for_each(&mut f);
     began.elapsed().as_nanos() as f64 / f64::from(n)
 }
 
-fn router() {
+fn measure_router() {
     println!(
-        "\n## Routing state\n\n| services, upstreams | memory MB | list taken ms | pick and finish us | tick us |\n|---|---|---|---|---|"
+        "\n## Routing state\n\n| services, upstreams | memory MB | list applied ms | pick and finish us | tick us |\n|---|---|---|---|---|"
     );
-    for (services, each, boxes) in [
+    for (services, per_service, boxes) in [
         (3, 16, 40),
         (67, REGION.1, REGION.2),
         (REGION.0, REGION.1, REGION.2),
-        (FULL.0, REGION.1, 4_600),
+        (FULL_SIZE.0, REGION.1, 4_600),
     ] {
-        let list = members(services, each);
-        let before = crate::allocated();
+        let list = members(services, per_service);
+        let before = crate::allocated_bytes();
         let mut r = Router::new("box1", "hall1", 7);
         r.set_services((0..services).map(|i| ServiceSpec::builder().name(format!("s{i}")).build()));
         let began = Instant::now();
         r.set_members(&list, boxes, Time::ZERO);
-        let taken = began.elapsed();
-        let memory = crate::allocated() - before;
+        let apply_time = began.elapsed();
+        let bytes = crate::allocated_bytes() - before;
         let keys: Vec<_> = (0..services).filter_map(|i| r.service(&format!("s{i}"))).collect();
         let mut now = Time::ZERO;
-        let pick = nanos(200_000, |i| {
+        let pick = mean_nanos(200_000, |i| {
             now = now + Duration::from_micros(2_700);
             if let Ok(p) = r.pick(keys[i as usize % keys.len()], true, &[], now) {
                 let end = now + Duration::from_millis(50);
@@ -141,26 +148,26 @@
                 r.finish(p.attempt, Outcome::Whole, end);
             }
         });
-        let tick = nanos(2_000, |_| {
+        let tick = mean_nanos(2_000, |_| {
             now = now + Duration::from_millis(10);
             black_box(r.tick(now));
         });
         println!(
-            "| {services} x {each} | {:.1} | {:.1} | {:.2} | {:.1} |",
-            memory / 1e6,
-            taken.as_secs_f64() * 1e3,
+            "| {services} x {per_service} | {:.1} | {:.1} | {:.2} | {:.1} |",
+            bytes / 1e6,
+            apply_time.as_secs_f64() * 1e3,
             pick / 1e3,
             tick / 1e3
         );
     }
 }
 
-fn roster() -> Result<()> {
+fn measure_roster() -> Result<()> {
     println!(
         "\n## The platform's list\n\n| boxes, upstreams | JSON KB | parse ms | memory MB |\n|---|---|---|---|"
     );
-    for (boxes, services, each) in
-        [(40, 3, 16), (REGION.2, REGION.0, REGION.1), (4_600, FULL.0, REGION.1)]
+    for (boxes, services, per_service) in
+        [(40, 3, 16), (REGION.2, REGION.0, REGION.1), (4_600, FULL_SIZE.0, REGION.1)]
     {
         let entry = |i: usize| BoxEntry {
             name: format!("box{i}"),
@@ -168,48 +175,50 @@
             hall: format!("hall{}", i % 25),
             state: MemberState::Live,
         };
-        let roster =
-            Roster { boxes: (0..boxes).map(entry).collect(), upstreams: members(services, each) };
+        let roster = Roster {
+            boxes: (0..boxes).map(entry).collect(),
+            upstreams: members(services, per_service),
+        };
         let json = serde_json::to_vec(&roster)?;
         drop(roster);
-        let before = crate::allocated();
+        let before = crate::allocated_bytes();
         let began = Instant::now();
         let read = Roster::from_json(&json)?;
-        let took = began.elapsed();
+        let elapsed = began.elapsed();
         println!(
             "| {boxes}, {} | {:.0} | {:.1} | {:.1} |",
             read.upstreams.len(),
             json.len() as f64 / 1e3,
-            took.as_secs_f64() * 1e3,
-            (crate::allocated() - before) / 1e6
+            elapsed.as_secs_f64() * 1e3,
+            (crate::allocated_bytes() - before) / 1e6
         );
     }
     Ok(())
 }
 
-fn collector() {
+fn measure_collector() {
     let mut c = Collector::new("s", Lean::default(), Floor::Share(0.7));
-    let up = |i: u64| NameId(i + 1);
-    c.set_members((0..21).map(up), REGION.2);
+    let upstream_id = |i: u64| NameId(i + 1);
+    c.set_members((0..21).map(upstream_id), REGION.2);
     let report = |b: u32, bad: u16| Report {
         service: NameId::of("s"),
         reporter: NameId(u64::from(b % 657)),
-        items: (0..4).map(|i| ReportItem { upstream: up(i), good: 2, bad }).collect(),
+        items: (0..4).map(|i| ReportItem { upstream: upstream_id(i), good: 2, bad }).collect(),
     };
-    let good = nanos(100_000, |i| {
+    let good = mean_nanos(100_000, |i| {
         black_box(c.report(&report(i, 0), Time::from_millis(u64::from(i))));
     });
-    let bad = nanos(20_000, |i| {
+    let bad = mean_nanos(20_000, |i| {
         black_box(c.report(&report(i, 10), Time::from_millis(100_000 + u64::from(i))));
     });
     println!(
-        "\n## Collector\n\n{:.1} us for a report with nothing bad, {:.1} us for one with",
+        "\n## Collector\n\n{:.1} us per report without failures, {:.1} us per report with failures",
         good / 1e3,
         bad / 1e3
     );
 }
 
-fn datagrams() {
+fn measure_datagrams() {
     let key = FleetKey::derive("a key for measuring");
     let items = |n: u64| {
         (0..n)
@@ -246,15 +255,15 @@
         ("verdict", Body::Verdict(verdict)),
     ];
     println!(
-        "\n## Datagrams, without 28 bytes of IP and UDP\n\n| what | bytes | seal us | open us |\n|---|---|---|---|"
+        "\n## Datagrams, without 28 bytes of IP and UDP headers\n\n| message | bytes | seal us | open us |\n|---|---|---|---|"
     );
     for (name, body) in bodies {
         let d = Datagram { sender: NameId(fastrand::u64(..)), body };
         let bytes = d.seal(&key);
-        let seal = nanos(20_000, |_| {
+        let seal = mean_nanos(20_000, |_| {
             black_box(d.seal(&key));
         });
-        let open = nanos(20_000, |_| {
+        let open = mean_nanos(20_000, |_| {
             black_box(Datagram::open(&bytes, &key));
         });
         println!("| {name} | {} | {:.2} | {:.2} |", bytes.len(), seal / 1e3, open / 1e3);
