--- a/crates/honeypulley_standin/src/upstream.rs
+++ b/crates/honeypulley_standin/src/upstream.rs
@@ -39,7 +39,9 @@
     pub connections: usize,
     /// Time that a request takes if it sets none.
     pub work_time: Duration,
-    /// Warm-up period, in which the time of a request falls from four times to normal.
+    /// Warm-up period after the start.
+    ///
+    /// Requests take four times as long at its start and the usual time at its end.
     pub warm_up: Duration,
     /// Interval at which the reported load is refreshed.
     pub load_interval: Duration,
@@ -169,7 +171,9 @@
         Ok(self.build_answer(mode, attempt_id, &request_id, &body, size))
     }
 
-    /// Waits for a slot; `None` if the queue is full or the deadline passes first.
+    /// Waits for a slot.
+    ///
+    /// Returns `None` if the queue is full or the deadline passes first.
     async fn acquire_slot(
         &self,
         deadline: Option<Duration>,
--- a/tools/ci/src/main.rs
+++ b/tools/ci/src/main.rs
@@ -43,7 +43,7 @@
 
 /// Reads the known failures from `KNOWN-RED.txt` and prints them.
 ///
-/// Each line holds comma-separated fields; the first is the name of the test.
+/// Each line holds the name of a test, the cause and the issue, separated by commas.
 fn read_known_failures() -> Vec<String> {
     let text = std::fs::read_to_string("KNOWN-RED.txt").unwrap_or_default();
     let lines = text.lines().filter(|l| !l.trim().is_empty());
--- a/tools/measure/src/full.rs
+++ b/tools/measure/src/full.rs
@@ -14,7 +14,9 @@
 /// Time within which a bundle must be in force on every box.
 const TIMEOUT: Duration = Duration::from_secs(120);
 
-/// Rolls out a full bundle, changes one route and replaces a box during an outage.
+/// Measures the roll-out of a full bundle.
+///
+/// Then changes one route, and replaces a box during a platform outage.
 ///
 /// # Errors
 /// Returns an error if a step fails or times out.
--- a/tools/trial/src/model.rs
+++ b/tools/trial/src/model.rs
@@ -1,4 +1,6 @@
-//! A model of one service: boxes, upstreams, network and the permit object.
+//! Discrete-event simulation of one service.
+//!
+//! Covers the boxes, the upstreams, the network and the permit object.
 
 mod control;
 mod traffic;
@@ -16,122 +18,122 @@
 use std::collections::{BinaryHeap, HashMap, VecDeque};
 use std::time::Duration;
 
-/// Deviation of the logarithm of the service time.
+/// Standard deviation of the logarithm of the service time (log-normal).
 const SIGMA: f64 = 0.5;
-/// Time from the beginning of one spell of a prone upstream to the next, in seconds.
-const SPELL_EVERY: f64 = 9.0;
-/// Length of a spell, in seconds, as seen on the deployments.
-const SPELL_TIME: f64 = 4.0;
-/// Share of the work that fails in a spell, as on the deployments' sheets.
-const SPELL_FAILS: f64 = 0.75;
-/// When the fault begins.
+/// Time between the starts of two failure episodes of a flaky upstream, in seconds.
+const EPISODE_INTERVAL: f64 = 9.0;
+/// Duration of a failure episode in seconds, as observed on the deployments.
+const EPISODE_DURATION: f64 = 4.0;
+/// Share of requests that fail in an episode, from the deployments' data sheets.
+const EPISODE_FAILURE_SHARE: f64 = 0.75;
+/// Start of the fault.
 pub const FAULT_AT: Time = Time::from_millis(20_000);
-/// When a run ends.
-const END: Time = Time::from_millis(50_000);
-/// Time between two ticks of a box.
-const TICK: Duration = Duration::from_millis(10);
-/// Window over which the share of a sick upstream is taken.
-const WINDOW: Duration = Duration::from_millis(500);
-/// Share of its fair share at which a sick upstream counts as relieved.
-const RELIEVED: f64 = 0.1;
-/// Bytes a second for reports with nothing bad, over all services of a box.
+/// End of a run.
+const RUN_END: Time = Time::from_millis(50_000);
+/// Interval between the ticks of a box.
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
+/// Window over which the share of a faulty upstream is measured.
+const SHARE_WINDOW: Duration = Duration::from_millis(500);
+/// Fraction of the fair share at which a faulty upstream counts as detected.
+const DETECTED_SHARE: f64 = 0.1;
+/// Bytes per second for reports without failures, over all services of a box.
 const REPORT_RATE: f64 = 3_000.0;
-/// Share that each service must keep.
-const FLOOR: f64 = 0.6;
+/// Share of the upstreams that must not be ejected.
+const FLOOR_SHARE: f64 = 0.6;
 
-/// One more hop within the hall, in microseconds.
-const SECOND_HOP: u64 = 200;
+/// Latency of the additional hop within a hall, in microseconds.
+const EXTRA_HOP_US: u64 = 200;
 
-/// What goes wrong.
+/// Fault that a scenario simulates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing.
+    /// None.
     None,
-    /// One upstream takes requests and never answers.
+    /// One upstream accepts requests and never answers.
     Stall,
-    /// One upstream takes ten times as long.
+    /// One upstream takes ten times as long per request.
     Slow,
     /// One upstream answers with failures.
     Fail,
-    /// One upstream cuts a third of its answers.
+    /// One upstream truncates a third of its answers.
     Cut,
     /// One upstream stalls for a quarter of the boxes.
     Partial,
-    /// One upstream stalls and recovers each second.
+    /// One upstream alternates every second between stalled and healthy.
     Flap,
-    /// Half again as many requests for ten seconds.
+    /// Requests arrive at 1.5 times the capacity of all slots for ten seconds.
     Overload,
 }
 
 impl Fault {
-    /// The faults of one upstream.
+    /// All faults that affect a single upstream.
     pub const GRAY: [Self; 6] =
         [Self::Stall, Self::Slow, Self::Fail, Self::Cut, Self::Partial, Self::Flap];
 }
 
-/// Whose decisions are measured.
+/// Routing policy of a scenario.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
-    /// Five consecutive failures, every box alone.
+    /// Each box excludes an upstream after five consecutive failures of its own.
     Naive,
-    /// Ours with every box alone.
+    /// The project's policy, with each box on its own evidence.
     Alone,
-    /// Ours with collectors and permits.
+    /// The project's policy with collectors and permits.
     Shared,
-    /// Two hops: one box of each hall decides for the service, alone.
+    /// Two hops: one box per hall decides for the service, on its own evidence.
     Home,
-    /// Expected loss by beliefs, with news to all boxes.
+    /// Least expected loss by beliefs, with updates broadcast to all boxes.
     Belief,
-    /// One who knows every fault and every queue.
+    /// Optimal choice with full knowledge of all faults and queues.
     Oracle,
 }
 
-/// One thing to measure.
+/// Configuration of a simulation run.
 #[derive(Clone, Copy, Debug)]
 pub struct Scenario {
-    /// Size.
+    /// Size of the deployment.
     pub size: &'static Size,
-    /// What goes wrong.
+    /// Fault to simulate.
     pub fault: Fault,
-    /// Whose decisions.
+    /// Routing policy.
     pub policy: Policy,
-    /// Busy slots over all slots.
+    /// Mean share of slots in use.
     pub usage: f64,
     /// Whether requests may be retried.
     pub repeatable: bool,
 }
 
-/// What one run showed.
+/// Results of one run.
 #[derive(Clone, Debug, Default)]
 pub struct Run {
-    /// Seconds until the sick upstream was relieved; `None` if it never was.
-    pub detect: Option<f64>,
-    /// Requests that went to the sick upstream after the fault began.
-    pub sick_work: u64,
-    /// Times a healthy upstream was set aside, each box counted apart.
-    pub false_asides: u64,
-    /// Box-upstream-seconds for which healthy ones were set aside.
-    pub aside_secs: f64,
-    /// Fleet-wide suspicions of healthy upstreams.
+    /// Seconds until the faulty upstream was detected; `None` if it never was.
+    pub detection_secs: Option<f64>,
+    /// Requests sent to the faulty upstream after the start of the fault.
+    pub faulty_requests: u64,
+    /// Number of exclusions of healthy upstreams, summed over boxes.
+    pub false_exclusions: u64,
+    /// Seconds for which healthy upstreams were excluded, summed over boxes and upstreams.
+    pub exclusion_secs: f64,
+    /// Collector verdicts against healthy upstreams.
     pub false_verdicts: u64,
-    /// Requests asked after the fault began.
-    pub asked: u64,
-    /// Requests answered well after the fault began.
-    pub good: u64,
-    /// Answer times after the fault began, in milliseconds.
-    pub took: Vec<f64>,
-    /// Datagram bytes sent for control.
-    pub bytes: u64,
-    /// Times the union of ejections broke the floor.
-    pub broken: u64,
-    /// One line for each suspicion of a healthy upstream.
+    /// Requests that arrived after the start of the fault.
+    pub requests: u64,
+    /// Requests answered successfully after the start of the fault.
+    pub successes: u64,
+    /// Latencies of successful requests after the start of the fault, in milliseconds.
+    pub latencies_ms: Vec<f64>,
+    /// Bytes of control datagrams sent.
+    pub control_bytes: u64,
+    /// Number of times at which the ejections of all boxes together violated the floor.
+    pub floor_violations: u64,
+    /// One line for each verdict against a healthy upstream.
     pub notes: Vec<String>,
 }
 
 enum Event {
     Arrive,
     AtUpstream { request: usize, up: usize },
-    Done { request: usize, up: usize, ok: bool, kind: Outcome },
+    Finished { request: usize, up: usize, ok: bool, kind: Outcome },
     Answer { request: usize, ok: bool, kind: Outcome },
     Deadline { request: usize },
     Tick { b: usize },
@@ -140,47 +142,47 @@
     Verdict { b: usize, v: Verdict },
     Permits { b: usize },
     Observe,
-    News { from: usize, to: usize, news: News },
+    Update { from: usize, to: usize, update: News },
     Overdue { request: usize },
 }
 
-/// Where a request is.
+/// Location of a request.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Place {
-    /// On its way there or back.
-    Flying,
+enum Location {
+    /// In the network, on the way to the upstream or back.
+    InNetwork,
     /// Waiting for a slot.
     Queued,
-    /// Holding a slot.
+    /// Occupying a slot.
     Running,
 }
 
 struct Request {
-    place: Place,
+    location: Location,
     b: usize,
     born: Time,
     attempt: Option<AttemptKey>,
     up: usize,
-    tries: u8,
-    tried: Option<UpstreamKey>,
-    over: bool,
+    attempts: u8,
+    last_tried: Option<UpstreamKey>,
+    done: bool,
 }
 
 #[derive(Default)]
-struct Up {
+struct Upstream {
     busy: usize,
     queue: VecDeque<usize>,
 }
 
-struct World<'a> {
-    s: &'a Scenario,
+struct Simulation<'a> {
+    scenario: &'a Scenario,
     rng: fastrand::Rng,
     now: Time,
     heap: BinaryHeap<Reverse<(Time, u64)>>,
     events: HashMap<u64, Event>,
     next: u64,
     requests: Vec<Request>,
-    ups: Vec<Up>,
+    upstreams: Vec<Upstream>,
     routers: Vec<Router>,
     keys: Vec<ServiceKey>,
     balancers: Vec<Balancer>,
@@ -188,139 +190,159 @@
     naive: Vec<Naive>,
     collectors: Vec<Collector>,
     record: PermitRecord,
-    permits_seen: Vec<PermitRecord>,
-    aside: Vec<Vec<bool>>,
-    recent: VecDeque<(Time, bool)>,
-    /// Last judgement of either collector.
-    standing: HashMap<usize, Judgement>,
+    applied_permits: Vec<PermitRecord>,
+    excluded: Vec<Vec<bool>>,
+    recent_sends: VecDeque<(Time, bool)>,
+    /// Last judgement of any collector by upstream.
+    last_judgements: HashMap<usize, Judgement>,
     run: Run,
 }
 
-fn name(i: usize) -> String {
+fn upstream_name(i: usize) -> String {
     format!("u{i}")
 }
 
-fn number(name: &str) -> usize {
-    name[1..].parse().expect("numbered")
+fn upstream_index(name: &str) -> usize {
+    name[1..].parse().expect("name is a letter and a number")
 }
 
-/// Builds the balancer of one box, if the scenario is about it.
-fn balancer(s: &Scenario, b: usize, spec: &ServiceSpec, members: &[Member], seed: u64) -> Balancer {
+/// Creates the balancer of one box for [`Policy::Belief`].
+fn balancer(
+    scenario: &Scenario,
+    b: usize,
+    spec: &ServiceSpec,
+    members: &[Member],
+    seed: u64,
+) -> Balancer {
     let rule = RetryRule { slack: 58.0, ..RetryRule::default() };
-    let mut x = Balancer::new(&format!("h{}", b % s.size.halls), rule, seed);
-    x.set_services(std::slice::from_ref(spec), Time::ZERO);
-    x.set_reach(Reach { boxes: s.size.boxes, in_touch: true });
+    let mut result = Balancer::new(&format!("h{}", b % scenario.size.halls), rule, seed);
+    result.set_services(std::slice::from_ref(spec), Time::ZERO);
+    result.set_reach(Reach { boxes: scenario.size.boxes, in_touch: true });
     for m in members {
-        let l = Listed { member: m.clone(), slots: s.size.slots, cold: Duration::ZERO, born: None };
-        x.set_upstream(l, Time::ZERO);
+        let l = Listed {
+            member: m.clone(),
+            slots: scenario.size.slots,
+            cold: Duration::ZERO,
+            born: None,
+        };
+        result.set_upstream(l, Time::ZERO);
     }
-    x
+    result
 }
 
-/// Runs one scenario with one seed.
+/// Simulates one scenario with one seed.
 #[must_use]
-pub fn run(s: &Scenario, seed: u64) -> Run {
-    let mut w = World::new(s, seed);
-    w.plan_start();
-    while let Some(Reverse((at, id))) = w.heap.pop() {
-        if at > END {
+pub fn run(scenario: &Scenario, seed: u64) -> Run {
+    let mut simulation = Simulation::new(scenario, seed);
+    simulation.schedule_start();
+    while let Some(Reverse((at, id))) = simulation.heap.pop() {
+        if at > RUN_END {
             break;
         }
-        w.now = at;
-        let e = w.events.remove(&id).expect("planned");
-        w.step(e);
+        simulation.now = at;
+        let e = simulation.events.remove(&id).expect("a queued event is stored");
+        simulation.step(e);
     }
-    w.run
+    simulation.run
 }
 
-impl<'a> World<'a> {
-    fn new(s: &'a Scenario, seed: u64) -> Self {
+impl<'a> Simulation<'a> {
+    fn new(scenario: &'a Scenario, seed: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let n = s.size.upstreams;
-        let lean = Lean::new(s.size.lean).unwrap_or_default();
+        let n = scenario.size.upstreams;
+        let lean = Lean::new(scenario.size.lean).unwrap_or_default();
         let spec = ServiceSpec::builder()
             .name("s")
-            .floor(Floor::Share(FLOOR))
+            .floor(Floor::Share(FLOOR_SHARE))
             .repeat(Repeat::Always)
-            .deadline(s.size.deadline)
+            .deadline(scenario.size.deadline)
             .lean(lean)
-            .connections(s.size.connections)
+            .connections(scenario.size.connections)
             .build();
         let members: Vec<Member> = (0..n)
             .map(|i| Member {
-                name: name(i),
+                name: upstream_name(i),
                 service: "s".into(),
                 addr: format!("10.0.0.{i}:80"),
-                hall: format!("h{}", i % s.size.halls),
+                hall: format!("h{}", i % scenario.size.halls),
                 state: MemberState::Live,
             })
             .collect();
         let mut routers = Vec::new();
-        for b in 0..s.size.boxes {
-            let hall = format!("h{}", b % s.size.halls);
+        for b in 0..scenario.size.boxes {
+            let hall = format!("h{}", b % scenario.size.halls);
             let mut r = Router::new(&format!("b{b}"), &hall, rng.u64(..));
-            r.set_report_rate(REPORT_RATE / s.size.services as f64);
+            r.set_report_rate(REPORT_RATE / scenario.size.services as f64);
             r.set_services([spec.clone()]);
-            // Home boxes alone share the upstreams' connections.
-            let sharers = if s.policy == Policy::Home { s.size.halls } else { s.size.boxes };
-            r.set_members(&members, sharers, Time::ZERO);
+            // With `Policy::Home`, only one box per hall uses the upstreams' connections.
+            let sharing_boxes = if scenario.policy == Policy::Home {
+                scenario.size.halls
+            } else {
+                scenario.size.boxes
+            };
+            r.set_members(&members, sharing_boxes, Time::ZERO);
             routers.push(r);
         }
-        let wanted = if s.policy == Policy::Belief { s.size.boxes } else { 0 };
-        let balancers: Vec<Balancer> =
-            (0..wanted).map(|b| balancer(s, b, &spec, &members, rng.u64(..))).collect();
-        let services = balancers.iter().map(|x| x.service("s").expect("set")).collect();
-        let keys = routers.iter().map(|r| r.service("s").expect("set")).collect();
+        let balancer_count =
+            if scenario.policy == Policy::Belief { scenario.size.boxes } else { 0 };
+        let balancers: Vec<Balancer> = (0..balancer_count)
+            .map(|b| balancer(scenario, b, &spec, &members, rng.u64(..)))
+            .collect();
+        let services =
+            balancers.iter().map(|x| x.service("s").expect("the service is set")).collect();
+        let keys = routers.iter().map(|r| r.service("s").expect("the service is set")).collect();
         let mut collector = Collector::new("s", lean, spec.floor);
-        collector.set_members((0..n).map(|i| NameId::of(&name(i))), s.size.boxes);
+        collector.set_members((0..n).map(|i| NameId::of(&upstream_name(i))), scenario.size.boxes);
         Self {
-            s,
+            scenario,
             rng,
             now: Time::ZERO,
             heap: BinaryHeap::new(),
             events: HashMap::new(),
             next: 0,
             requests: Vec::new(),
-            ups: (0..n).map(|_| Up::default()).collect(),
+            upstreams: (0..n).map(|_| Upstream::default()).collect(),
             keys,
             balancers,
             services,
-            naive: vec![Naive::new(n); s.size.boxes],
+            naive: vec![Naive::new(n); scenario.size.boxes],
             collectors: vec![collector; COLLECTORS],
             record: PermitRecord::default(),
-            permits_seen: vec![PermitRecord::default(); s.size.boxes],
-            aside: vec![vec![false; n]; s.size.boxes],
-            recent: VecDeque::new(),
-            standing: HashMap::new(),
+            applied_permits: vec![PermitRecord::default(); scenario.size.boxes],
+            excluded: vec![vec![false; n]; scenario.size.boxes],
+            recent_sends: VecDeque::new(),
+            last_judgements: HashMap::new(),
             run: Run::default(),
             routers,
         }
     }
 
-    fn plan(&mut self, d: Duration, e: Event) {
+    fn schedule(&mut self, d: Duration, e: Event) {
         let id = self.next;
         self.next += 1;
         self.events.insert(id, e);
         self.heap.push(Reverse((self.now + d, id)));
     }
 
-    fn plan_start(&mut self) {
-        self.plan(Duration::ZERO, Event::Arrive);
-        for b in 0..self.s.size.boxes {
+    fn schedule_start(&mut self) {
+        self.schedule(Duration::ZERO, Event::Arrive);
+        for b in 0..self.scenario.size.boxes {
             let offset = Duration::from_micros(self.rng.u64(0..10_000));
-            self.plan(offset, Event::Tick { b });
+            self.schedule(offset, Event::Tick { b });
         }
-        self.plan(Duration::from_millis(100), Event::CollectTick);
-        self.plan(Duration::from_millis(50), Event::Observe);
+        self.schedule(Duration::from_millis(100), Event::CollectTick);
+        self.schedule(Duration::from_millis(50), Event::Observe);
     }
 
     fn step(&mut self, e: Event) {
         match e {
             Event::Arrive => self.arrive(),
             Event::AtUpstream { request, up } => self.at_upstream(request, up),
-            Event::Done { request, up, ok, kind } => self.done(request, up, ok, kind),
+            Event::Finished { request, up, ok, kind } => {
+                self.upstream_finished(request, up, ok, kind)
+            }
             Event::Answer { request, ok, kind } => self.answer(request, ok, kind),
-            Event::Deadline { request } => self.late(request),
+            Event::Deadline { request } => self.deadline_passed(request),
             Event::Tick { b } => self.tick(b),
             Event::Report { c, report } => {
                 let verdicts = self.collectors[c].report(&report, self.now);
@@ -331,15 +353,15 @@
                     let verdicts = self.collectors[c].tick(self.now);
                     self.publish(&verdicts);
                 }
-                self.plan(Duration::from_millis(100), Event::CollectTick);
+                self.schedule(Duration::from_millis(100), Event::CollectTick);
             }
             Event::Verdict { b, v } => {
                 self.routers[b].set_verdict(&v, self.now);
             }
-            Event::Permits { b } => self.see_permits(b),
+            Event::Permits { b } => self.apply_permits(b),
             Event::Observe => self.observe(),
-            Event::News { from, to, news } => {
-                self.balancers[to].heard(NameId(from as u64 + 1), news, self.now);
+            Event::Update { from, to, update } => {
+                self.balancers[to].heard(NameId(from as u64 + 1), update, self.now);
             }
             Event::Overdue { request } => self.overdue(request),
         }
--- a/tools/trial/src/model/control.rs
+++ b/tools/trial/src/model/control.rs
@@ -1,43 +1,45 @@
-//! What the boxes announce to each other, and what is observed of them.
+//! Control messages between boxes, and measurement of their decisions.
 
 use super::{
-    COLLECTORS, Event, FAULT_AT, FLOOR, Floor, FloorContext, Judgement, NameId, PermitView, Policy,
-    RELIEVED, TICK, Verdict, WINDOW, World, name, number,
+    COLLECTORS, DETECTED_SHARE, Event, FAULT_AT, FLOOR_SHARE, Floor, FloorContext, Judgement,
+    NameId, PermitView, Policy, SHARE_WINDOW, Simulation, TICK_INTERVAL, Verdict, upstream_index,
+    upstream_name,
 };
 use std::time::Duration;
 
-impl World<'_> {
+impl Simulation<'_> {
     pub(super) fn tick(&mut self, b: usize) {
-        self.plan(TICK, Event::Tick { b });
-        if matches!(self.s.policy, Policy::Naive | Policy::Belief | Policy::Oracle) {
+        self.schedule(TICK_INTERVAL, Event::Tick { b });
+        if matches!(self.scenario.policy, Policy::Naive | Policy::Belief | Policy::Oracle) {
             return;
         }
         let reports = self.routers[b].tick(self.now);
-        if self.s.policy != Policy::Shared {
+        if self.scenario.policy != Policy::Shared {
             return;
         }
         for report in reports {
             for c in 0..COLLECTORS {
-                self.run.bytes += 60 + 12 * report.items.len() as u64;
+                self.run.control_bytes += 60 + 12 * report.items.len() as u64;
                 let report = report.clone();
-                self.plan(Duration::from_millis(1), Event::Report { c, report });
+                self.schedule(Duration::from_millis(1), Event::Report { c, report });
             }
         }
     }
 
     pub(super) fn publish(&mut self, verdicts: &[Verdict]) {
         for v in verdicts {
-            for b in 0..self.s.size.boxes {
-                self.run.bytes += 70;
-                self.plan(Duration::from_millis(1), Event::Verdict { b, v: *v });
+            for b in 0..self.scenario.size.boxes {
+                self.run.control_bytes += 70;
+                self.schedule(Duration::from_millis(1), Event::Verdict { b, v: *v });
             }
-            let up = (0..self.s.size.upstreams).find(|&i| NameId::of(&name(i)) == v.upstream);
+            let up = (0..self.scenario.size.upstreams)
+                .find(|&i| NameId::of(&upstream_name(i)) == v.upstream);
             let Some(up) = up else { continue };
-            let news = self.standing.insert(up, v.judgement) != Some(v.judgement);
-            if news && v.judgement == Judgement::Suspect && !self.is_sick(up) {
+            let is_new = self.last_judgements.insert(up, v.judgement) != Some(v.judgement);
+            if is_new && v.judgement == Judgement::Suspect && !self.is_faulty(up) {
                 self.run.false_verdicts += 1;
                 let (at, w, hold) = (self.now.as_secs(), v.witnesses, v.hold);
-                let queues: Vec<usize> = self.ups.iter().map(|u| u.queue.len()).collect();
+                let queues: Vec<usize> = self.upstreams.iter().map(|u| u.queue.len()).collect();
                 let note = format!("{at:.2} s: u{up} by {w} boxes for {hold:?}; queues {queues:?}");
                 self.run.notes.push(note);
             }
@@ -46,91 +48,98 @@
     }
 
     fn change_permit(&mut self, up: usize, j: Judgement) {
-        let n = self.s.size.upstreams;
-        let ctx = FloorContext { live: n, floor: Floor::Share(FLOOR).count(n) };
+        let n = self.scenario.size.upstreams;
+        let ctx = FloorContext { live: n, floor: Floor::Share(FLOOR_SHARE).count(n) };
         let next = match j {
-            Judgement::Suspect => self.record.eject(&name(up), ctx),
-            Judgement::Probation => self.record.try_canary(&name(up)),
-            Judgement::Clear => self.record.release(&name(up)),
+            Judgement::Suspect => self.record.eject(&upstream_name(up), ctx),
+            Judgement::Probation => self.record.try_canary(&upstream_name(up)),
+            Judgement::Clear => self.record.release(&upstream_name(up)),
         };
         let Ok(next) = next else { return };
         self.record = next;
-        for b in 0..self.s.size.boxes {
+        for b in 0..self.scenario.size.boxes {
             let d = Duration::from_micros(self.rng.u64(5_000..1_400_000));
-            self.plan(d, Event::Permits { b });
+            self.schedule(d, Event::Permits { b });
         }
     }
 
-    pub(super) fn see_permits(&mut self, b: usize) {
-        self.permits_seen[b] = self.record.clone();
+    pub(super) fn apply_permits(&mut self, b: usize) {
+        self.applied_permits[b] = self.record.clone();
         let records = [("s".to_owned(), self.record.clone())].into();
-        // A run is shorter than what the lease's confirmations need to matter.
+        // A run is too short for the lease to expire, so it is always confirmed.
         let view = PermitView { records, confirmed: Some(self.now + Duration::from_secs(60)) };
         self.routers[b].set_permits(&view);
-        let n = self.s.size.upstreams;
-        let union = (0..n)
-            .filter(|&i| self.permits_seen.iter().any(|r| r.hold(&name(i)).is_some()))
+        let n = self.scenario.size.upstreams;
+        let ejected_count = (0..n)
+            .filter(|&i| self.applied_permits.iter().any(|r| r.hold(&upstream_name(i)).is_some()))
             .count();
-        if n - union < Floor::Share(FLOOR).count(n) {
-            self.run.broken += 1;
+        if n - ejected_count < Floor::Share(FLOOR_SHARE).count(n) {
+            self.run.floor_violations += 1;
         }
     }
 
-    /// Looks at who is set aside where, and at the sick upstream's share.
+    /// Samples the exclusions on all boxes and the share of the faulty upstream.
     pub(super) fn observe(&mut self) {
-        const STEP: Duration = Duration::from_millis(50);
-        self.plan(STEP, Event::Observe);
+        const SAMPLE_INTERVAL: Duration = Duration::from_millis(50);
+        self.schedule(SAMPLE_INTERVAL, Event::Observe);
         let now = self.now;
-        for b in 0..self.s.size.boxes {
-            let aside = self.set_aside(b);
-            for (up, is) in aside.into_iter().enumerate() {
-                let healthy = !self.is_sick(up);
-                if is && healthy {
-                    self.run.aside_secs += STEP.as_secs_f64();
-                    self.run.false_asides += u64::from(!self.aside[b][up]);
+        for b in 0..self.scenario.size.boxes {
+            let excluded = self.excluded_upstreams(b);
+            for (up, is_excluded) in excluded.into_iter().enumerate() {
+                let healthy = !self.is_faulty(up);
+                if is_excluded && healthy {
+                    self.run.exclusion_secs += SAMPLE_INTERVAL.as_secs_f64();
+                    self.run.false_exclusions += u64::from(!self.excluded[b][up]);
                 }
-                self.aside[b][up] = is;
+                self.excluded[b][up] = is_excluded;
             }
         }
-        while self.recent.front().is_some_and(|(at, _)| now.since(*at) > WINDOW) {
-            self.recent.pop_front();
+        while self.recent_sends.front().is_some_and(|(at, _)| now.since(*at) > SHARE_WINDOW) {
+            self.recent_sends.pop_front();
         }
         let since = now.since(FAULT_AT);
-        if now < FAULT_AT + WINDOW / 5 || self.run.detect.is_some() || self.recent.is_empty() {
+        if now < FAULT_AT + SHARE_WINDOW / 5
+            || self.run.detection_secs.is_some()
+            || self.recent_sends.is_empty()
+        {
             return;
         }
-        let fresh = self.recent.iter().filter(|(at, _)| now.since(*at) < WINDOW / 5);
-        let (all, sick) = fresh.fold((0u32, 0u32), |(a, s), (_, x)| (a + 1, s + u32::from(*x)));
-        let fair = f64::from(all) / self.s.size.upstreams as f64;
-        if f64::from(sick) <= fair * RELIEVED && fair > 0.0 {
-            // The share must stay down for the rest of the window.
-            let whole = self.recent.iter().filter(|(_, x)| *x).count() as f64;
-            let window = self.recent.len() as f64 / self.s.size.upstreams as f64;
-            if whole <= window * RELIEVED {
-                self.run.detect = Some((since.as_secs_f64() - WINDOW.as_secs_f64()).max(0.0));
+        let latest_sends =
+            self.recent_sends.iter().filter(|(at, _)| now.since(*at) < SHARE_WINDOW / 5);
+        let (all, faulty) =
+            latest_sends.fold((0u32, 0u32), |(a, s), (_, x)| (a + 1, s + u32::from(*x)));
+        let fair = f64::from(all) / self.scenario.size.upstreams as f64;
+        if f64::from(faulty) <= fair * DETECTED_SHARE && fair > 0.0 {
+            // The share must be low over the whole window too.
+            let window_faulty = self.recent_sends.iter().filter(|(_, x)| *x).count() as f64;
+            let window_fair = self.recent_sends.len() as f64 / self.scenario.size.upstreams as f64;
+            if window_faulty <= window_fair * DETECTED_SHARE {
+                self.run.detection_secs =
+                    Some((since.as_secs_f64() - SHARE_WINDOW.as_secs_f64()).max(0.0));
             }
         }
     }
 
-    fn set_aside(&self, b: usize) -> Vec<bool> {
-        let n = self.s.size.upstreams;
-        if self.s.policy == Policy::Naive {
+    fn excluded_upstreams(&self, b: usize) -> Vec<bool> {
+        let n = self.scenario.size.upstreams;
+        if self.scenario.policy == Policy::Naive {
             return (0..n).map(|i| self.naive[b].is_aside(i, self.now)).collect();
         }
-        let mut aside = vec![false; n];
-        if self.s.policy == Policy::Oracle {
-            return aside;
+        let mut excluded = vec![false; n];
+        if self.scenario.policy == Policy::Oracle {
+            return excluded;
         }
-        if self.s.policy == Policy::Belief {
-            // Nothing is ejected; one that is more likely sick than not is avoided.
+        if self.scenario.policy == Policy::Belief {
+            // This policy ejects nothing; a probability above 0.5 counts as excluded.
             for row in self.balancers[b].status(self.now) {
-                aside[number(&row.upstream)] = row.sick > 0.5;
+                excluded[upstream_index(&row.upstream)] = row.sick > 0.5;
             }
-            return aside;
+            return excluded;
         }
         for row in self.routers[b].status(self.now) {
-            aside[number(&row.upstream)] = matches!(row.state, "avoided" | "suspect" | "ejected");
+            excluded[upstream_index(&row.upstream)] =
+                matches!(row.state, "avoided" | "suspect" | "ejected");
         }
-        aside
+        excluded
     }
 }
--- a/tools/trial/src/model/traffic.rs
+++ b/tools/trial/src/model/traffic.rs
@@ -1,55 +1,59 @@
-//! Requests on their way: arrival, choice, work, answer.
+//! Life cycle of requests: arrival, routing, processing and answer.
 
 use super::{
-    AttemptKey, Event, FAULT_AT, Fault, Outcome, Place, Policy, Request, SECOND_HOP, SIGMA,
-    SPELL_EVERY, SPELL_FAILS, SPELL_TIME, World, number,
+    AttemptKey, EPISODE_DURATION, EPISODE_FAILURE_SHARE, EPISODE_INTERVAL, EXTRA_HOP_US, Event,
+    FAULT_AT, Fault, Location, Outcome, Policy, Request, SIGMA, Simulation, upstream_index,
 };
 use honeypulley_policy::chooser::{Ask, Chooser};
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::router::{Reason, UpstreamKey};
 use std::time::Duration;
 
-impl World<'_> {
-    fn exp(&mut self, mean: f64) -> Duration {
+impl Simulation<'_> {
+    fn sample_exponential(&mut self, mean: f64) -> Duration {
         Duration::from_secs_f64(-mean * (1.0 - self.rng.f64()).ln())
     }
 
-    fn normal(&mut self) -> f64 {
+    fn sample_normal(&mut self) -> f64 {
         let (u, v) = (1.0 - self.rng.f64(), self.rng.f64());
         (-2.0 * u.ln()).sqrt() * (std::f64::consts::TAU * v).cos()
     }
 
     fn rate(&self) -> f64 {
-        let size = self.s.size;
-        let mean = size.work * (SIGMA * SIGMA / 2.0).exp();
-        let usual = self.s.usage * (size.upstreams * size.slots) as f64 / mean;
-        let surge = self.s.fault == Fault::Overload
+        let size = self.scenario.size;
+        let mean = size.service_time * (SIGMA * SIGMA / 2.0).exp();
+        let usual_rate = self.scenario.usage * (size.upstreams * size.slots) as f64 / mean;
+        let surge = self.scenario.fault == Fault::Overload
             && self.now >= FAULT_AT
             && self.now.since(FAULT_AT) < Duration::from_secs(10);
-        // Half again over what all slots can do.
-        if surge { usual / self.s.usage * 1.5 } else { usual }
+        // The surge is 1.5 times the capacity of all slots.
+        if surge { usual_rate / self.scenario.usage * 1.5 } else { usual_rate }
     }
 
     pub(super) fn arrive(&mut self) {
-        let gap = self.exp(1.0 / self.rate());
-        self.plan(gap, Event::Arrive);
-        let entry = self.rng.usize(..self.s.size.boxes);
-        let b = if self.s.policy == Policy::Home { entry % self.s.size.halls } else { entry };
+        let gap = self.sample_exponential(1.0 / self.rate());
+        self.schedule(gap, Event::Arrive);
+        let arrival_box = self.rng.usize(..self.scenario.size.boxes);
+        let b = if self.scenario.policy == Policy::Home {
+            arrival_box % self.scenario.size.halls
+        } else {
+            arrival_box
+        };
         let request = self.requests.len();
         self.requests.push(Request {
-            place: Place::Flying,
+            location: Location::InNetwork,
             b,
             born: self.now,
             attempt: None,
             up: 0,
-            tries: 0,
-            tried: None,
-            over: false,
+            attempts: 0,
+            last_tried: None,
+            done: false,
         });
         if self.now >= FAULT_AT {
-            self.run.asked += 1;
+            self.run.requests += 1;
         }
-        let admitted = match self.s.policy {
+        let admitted = match self.scenario.policy {
             Policy::Naive | Policy::Oracle => true,
             Policy::Belief => {
                 let k = self.services[b];
@@ -59,12 +63,12 @@
             _ => self.routers[b].admit(self.keys[b], self.now).is_ok(),
         };
         if !admitted {
-            self.requests[request].over = true;
+            self.requests[request].done = true;
             return;
         }
-        self.plan(self.s.size.deadline, Event::Deadline { request });
-        if self.s.policy == Policy::Belief {
-            self.plan(self.s.size.work_limit(), Event::Overdue { request });
+        self.schedule(self.scenario.size.deadline, Event::Deadline { request });
+        if self.scenario.policy == Policy::Belief {
+            self.schedule(self.scenario.size.overdue_age(), Event::Overdue { request });
         }
         self.send(request);
     }
@@ -72,131 +76,134 @@
     fn send(&mut self, request: usize) {
         let b = self.requests[request].b;
         let now = self.now;
-        let Some((up, attempt, regular)) = self.choose(request) else {
-            self.requests[request].over = true;
+        let Some((up, attempt, is_usual)) = self.choose(request) else {
+            self.requests[request].done = true;
             return;
         };
         let r = &mut self.requests[request];
         (r.up, r.attempt) = (up, attempt);
-        r.tries += 1;
-        if now >= FAULT_AT && self.is_sick(up) {
-            self.run.sick_work += 1;
+        r.attempts += 1;
+        if now >= FAULT_AT && self.is_faulty(up) {
+            self.run.faulty_requests += 1;
         }
-        self.recent.push_back((now, self.is_sick(up) && regular));
+        self.recent_sends.push_back((now, self.is_faulty(up) && is_usual));
         let hop = self.hop(b, up);
-        self.plan(hop, Event::AtUpstream { request, up });
+        self.schedule(hop, Event::AtUpstream { request, up });
     }
 
-    /// Chooses an upstream; tells whether it was by the usual rule.
+    /// Chooses an upstream; the flag is false for probes and fallback choices.
     fn choose(&mut self, request: usize) -> Option<(usize, Option<AttemptKey>, bool)> {
         let (b, now) = (self.requests[request].b, self.now);
-        match self.s.policy {
+        match self.scenario.policy {
             Policy::Naive => Some((self.naive[b].pick(now, &mut self.rng)?, None, true)),
-            Policy::Oracle => Some((self.best(), None, true)),
+            Policy::Oracle => Some((self.best_upstream(), None, true)),
             Policy::Belief => {
                 let ask = Ask {
                     service: self.services[b],
-                    repeatable: self.s.repeatable,
+                    repeatable: self.scenario.repeatable,
                     priority: 0,
                     bulky: false,
-                    aim: Some(self.s.size.deadline / 5),
-                    left: Some(self.s.size.deadline),
+                    aim: Some(self.scenario.size.deadline / 5),
+                    left: Some(self.scenario.size.deadline),
                     route: NameId::of("r"),
                 };
-                let tried = self.requests[request].tried;
-                let tried: Vec<UpstreamKey> = tried.into_iter().collect();
-                let p = self.balancers[b].pick(&ask, &tried, now).ok()?;
-                self.tell(b);
-                let up = number(self.balancers[b].place(p.upstream)?.name);
-                self.requests[request].tried = Some(p.upstream);
+                let last_tried = self.requests[request].last_tried;
+                let last_tried: Vec<UpstreamKey> = last_tried.into_iter().collect();
+                let p = self.balancers[b].pick(&ask, &last_tried, now).ok()?;
+                self.broadcast_updates(b);
+                let up = upstream_index(self.balancers[b].place(p.upstream)?.name);
+                self.requests[request].last_tried = Some(p.upstream);
                 Some((up, Some(p.attempt), p.reason == Reason::LeastLoss))
             }
             _ => {
                 let p = self.routers[b].pick(self.keys[b], true, &[], now).ok()?;
-                let up = number(self.routers[b].upstream(p.upstream)?.0);
+                let up = upstream_index(self.routers[b].upstream(p.upstream)?.0);
                 Some((up, Some(p.attempt), p.reason == Reason::TwoChoices))
             }
         }
     }
 
-    /// Returns the least busy upstream that is well, as one who knows all would.
-    fn best(&self) -> usize {
-        let load = |i: &usize| {
-            let ill = self.is_sick(*i) && self.now >= FAULT_AT || self.in_spell(*i);
-            (ill, self.ups[*i].busy + self.ups[*i].queue.len())
+    /// Returns the healthy upstream with the fewest requests, by full knowledge.
+    fn best_upstream(&self) -> usize {
+        let load_key = |i: &usize| {
+            let is_unhealthy =
+                self.is_faulty(*i) && self.now >= FAULT_AT || self.in_failure_episode(*i);
+            (is_unhealthy, self.upstreams[*i].busy + self.upstreams[*i].queue.len())
         };
-        (0..self.ups.len()).min_by_key(load).expect("there are upstreams")
+        (0..self.upstreams.len()).min_by_key(load_key).expect("there is at least one upstream")
     }
 
-    /// Hands what a box has to tell to the others, a millisecond later.
-    pub(super) fn tell(&mut self, b: usize) {
-        for news in self.balancers[b].take_news() {
-            let near = news.is_for_hall();
-            for to in (0..self.s.size.boxes).filter(|&to| to != b) {
-                if near && to % self.s.size.halls != b % self.s.size.halls {
+    /// Delivers the pending updates of a box to its peers after one millisecond.
+    pub(super) fn broadcast_updates(&mut self, b: usize) {
+        for update in self.balancers[b].take_news() {
+            let is_local = update.is_for_hall();
+            for to in (0..self.scenario.size.boxes).filter(|&to| to != b) {
+                if is_local && to % self.scenario.size.halls != b % self.scenario.size.halls {
                     continue;
                 }
-                self.run.bytes += 60;
-                self.plan(Duration::from_millis(1), Event::News { from: b, to, news });
+                self.run.control_bytes += 60;
+                self.schedule(Duration::from_millis(1), Event::Update { from: b, to, update });
             }
         }
     }
 
-    /// Records that an attempt is overdue, for policies that do not look themselves.
+    /// Records an overdue attempt for [`Policy::Belief`], which does not poll for them.
     pub(super) fn overdue(&mut self, request: usize) {
         let r = &self.requests[request];
-        if let (false, Some(a)) = (r.over, r.attempt) {
+        if let (false, Some(a)) = (r.done, r.attempt) {
             let b = r.b;
             self.balancers[b].still_open(a, self.now);
-            self.tell(b);
+            self.broadcast_updates(b);
         }
     }
 
-    /// Returns whether an upstream fails most of its work just now, by itself.
-    fn in_spell(&self, up: usize) -> bool {
-        let size = self.s.size;
-        let prone = (up as f64 + 0.5) / size.upstreams as f64 > 1.0 - size.prone;
-        let phase = (self.now.as_secs() + up as f64 * 2.3) % SPELL_EVERY;
-        prone && phase < SPELL_TIME
+    /// Returns whether a flaky upstream is in a failure episode.
+    fn in_failure_episode(&self, up: usize) -> bool {
+        let size = self.scenario.size;
+        let is_flaky = (up as f64 + 0.5) / size.upstreams as f64 > 1.0 - size.flaky_share;
+        let phase = (self.now.as_secs() + up as f64 * 2.3) % EPISODE_INTERVAL;
+        is_flaky && phase < EPISODE_DURATION
     }
 
     fn hop(&self, b: usize, up: usize) -> Duration {
-        let same = b % self.s.size.halls == up % self.s.size.halls;
-        let further = if self.s.policy == Policy::Home { SECOND_HOP } else { 0 };
-        Duration::from_micros(further + if same { 100 } else { self.s.size.hall_us })
+        let same = b % self.scenario.size.halls == up % self.scenario.size.halls;
+        let extra_hop = if self.scenario.policy == Policy::Home { EXTRA_HOP_US } else { 0 };
+        Duration::from_micros(
+            extra_hop + if same { 100 } else { self.scenario.size.hall_latency_us },
+        )
     }
 
-    /// The upstream numbered zero is the one that turns gray.
-    pub(super) fn is_sick(&self, up: usize) -> bool {
-        up == 0 && !matches!(self.s.fault, Fault::None | Fault::Overload)
+    /// Returns whether the fault affects this upstream, which is always number zero.
+    pub(super) fn is_faulty(&self, up: usize) -> bool {
+        up == 0 && !matches!(self.scenario.fault, Fault::None | Fault::Overload)
     }
 
     pub(super) fn at_upstream(&mut self, request: usize, up: usize) {
-        if self.requests[request].over {
+        if self.requests[request].done {
             return;
         }
-        if self.ups[up].busy < self.s.size.slots {
+        if self.upstreams[up].busy < self.scenario.size.slots {
             self.begin(request, up);
         } else {
-            self.requests[request].place = Place::Queued;
-            self.ups[up].queue.push_back(request);
+            self.requests[request].location = Location::Queued;
+            self.upstreams[up].queue.push_back(request);
         }
     }
 
     fn begin(&mut self, request: usize, up: usize) {
-        self.ups[up].busy += 1;
-        self.requests[request].place = Place::Running;
+        self.upstreams[up].busy += 1;
+        self.requests[request].location = Location::Running;
         let b = self.requests[request].b;
-        let mut secs = self.s.size.work * (SIGMA * self.normal()).exp();
-        let mut ok = self.rng.f64() >= self.s.size.background;
-        if self.in_spell(up) && self.rng.f64() < SPELL_FAILS {
+        let mut secs = self.scenario.size.service_time * (SIGMA * self.sample_normal()).exp();
+        let mut ok = self.rng.f64() >= self.scenario.size.failure_share;
+        if self.in_failure_episode(up) && self.rng.f64() < EPISODE_FAILURE_SHARE {
             (ok, secs) = (false, secs / 10.0);
         }
         let mut kind = Outcome::Whole;
-        if self.is_sick(up) && self.now >= FAULT_AT {
+        if self.is_faulty(up) && self.now >= FAULT_AT {
             let phase = self.now.since(FAULT_AT).as_millis() / 1_000;
-            match self.s.fault {
-                // The slot comes free when the caller leaves.
+            match self.scenario.fault {
+                // Never finishes; the slot is freed when the deadline cancels the request.
                 Fault::Stall => secs = 1e6,
                 Fault::Partial if b.is_multiple_of(4) => secs = 1e6,
                 Fault::Flap if phase.is_multiple_of(2) => secs = 1e6,
@@ -207,26 +214,26 @@
             }
         }
         if secs < 1e5 {
-            self.plan(Duration::from_secs_f64(secs), Event::Done { request, up, ok, kind });
+            self.schedule(Duration::from_secs_f64(secs), Event::Finished { request, up, ok, kind });
         }
     }
 
-    pub(super) fn done(&mut self, request: usize, up: usize, ok: bool, kind: Outcome) {
+    pub(super) fn upstream_finished(&mut self, request: usize, up: usize, ok: bool, kind: Outcome) {
         let r = &self.requests[request];
-        // A cancelled request has freed its slot already.
-        if r.over || r.up != up {
+        // A cancelled request has already freed its slot.
+        if r.done || r.up != up {
             return;
         }
         let hop = self.hop(r.b, up);
-        self.requests[request].place = Place::Flying;
+        self.requests[request].location = Location::InNetwork;
         self.free_slot(up);
-        self.plan(hop, Event::Answer { request, ok, kind });
+        self.schedule(hop, Event::Answer { request, ok, kind });
     }
 
     fn free_slot(&mut self, up: usize) {
-        self.ups[up].busy -= 1;
-        while let Some(next) = self.ups[up].queue.pop_front() {
-            if !self.requests[next].over && self.requests[next].up == up {
+        self.upstreams[up].busy -= 1;
+        while let Some(next) = self.upstreams[up].queue.pop_front() {
+            if !self.requests[next].done && self.requests[next].up == up {
                 self.begin(next, up);
                 return;
             }
@@ -235,38 +242,38 @@
 
     pub(super) fn answer(&mut self, request: usize, ok: bool, kind: Outcome) {
         let now = self.now;
-        if self.requests[request].over {
+        if self.requests[request].done {
             return;
         }
-        let good = ok && kind == Outcome::Whole;
-        self.close(request, ok, kind);
+        let is_success = ok && kind == Outcome::Whole;
+        self.report_outcome(request, ok, kind);
         let r = &mut self.requests[request];
-        if !good && r.tries < 2 && kind == Outcome::Whole && self.s.repeatable {
+        if !is_success && r.attempts < 2 && kind == Outcome::Whole && self.scenario.repeatable {
             return self.send(request);
         }
-        r.over = true;
-        if now >= FAULT_AT && good {
-            self.run.good += 1;
+        r.done = true;
+        if now >= FAULT_AT && is_success {
+            self.run.successes += 1;
             let took = now.since(self.requests[request].born);
-            self.run.took.push(took.as_secs_f64() * 1e3);
+            self.run.latencies_ms.push(took.as_secs_f64() * 1e3);
         }
     }
 
-    /// Reports to the policy how an attempt ended.
-    fn close(&mut self, request: usize, ok: bool, kind: Outcome) {
+    /// Reports the outcome of an attempt to the policy.
+    fn report_outcome(&mut self, request: usize, ok: bool, kind: Outcome) {
         let r = &self.requests[request];
         let (b, up, now) = (r.b, r.up, self.now);
         match r.attempt {
-            None if self.s.policy == Policy::Oracle => {}
+            None if self.scenario.policy == Policy::Oracle => {}
             None => {
                 self.naive[b].finish(up, ok && kind == Outcome::Whole, now);
             }
-            Some(a) if self.s.policy == Policy::Belief => {
+            Some(a) if self.scenario.policy == Policy::Belief => {
                 if kind != Outcome::Late {
                     self.balancers[b].answered(a, ok, now);
                 }
                 self.balancers[b].finish(a, kind, now);
-                self.tell(b);
+                self.broadcast_updates(b);
             }
             Some(a) => {
                 if kind != Outcome::Late {
@@ -277,18 +284,18 @@
         }
     }
 
-    pub(super) fn late(&mut self, request: usize) {
-        if self.requests[request].over {
+    pub(super) fn deadline_passed(&mut self, request: usize) {
+        if self.requests[request].done {
             return;
         }
-        self.close(request, false, Outcome::Late);
+        self.report_outcome(request, false, Outcome::Late);
         let up = self.requests[request].up;
-        self.requests[request].over = true;
-        // Cancellation frees the slot, or leaves the queue.
-        match self.requests[request].place {
-            Place::Flying => {}
-            Place::Queued => self.ups[up].queue.retain(|&q| q != request),
-            Place::Running => self.free_slot(up),
+        self.requests[request].done = true;
+        // Cancellation frees the slot or removes the request from the queue.
+        match self.requests[request].location {
+            Location::InNetwork => {}
+            Location::Queued => self.upstreams[up].queue.retain(|&q| q != request),
+            Location::Running => self.free_slot(up),
         }
     }
 }
--- a/tools/trial/src/sizes.rs
+++ b/tools/trial/src/sizes.rs
@@ -1,50 +1,50 @@
-//! The users' sizes, and one service of a region at full size.
+//! Sizes of the users' deployments, and one service of a region at full size.
 
 use std::time::Duration;
 
-/// One service with the boxes before it.
+/// One service and the boxes that route to it.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
     /// Name of the service.
     pub name: &'static str,
-    /// Boxes before it.
+    /// Number of boxes.
     pub boxes: usize,
-    /// Services that share a box's allowance for reports.
+    /// Number of services that share the report bandwidth of a box.
     pub services: usize,
-    /// Upstreams.
+    /// Number of upstreams.
     pub upstreams: usize,
-    /// Slots of each upstream.
+    /// Slots per upstream: requests that it runs concurrently.
     pub slots: usize,
-    /// Connections of each upstream.
+    /// Connection limit per upstream.
     pub connections: usize,
-    /// Data halls.
+    /// Number of data halls.
     pub halls: usize,
-    /// One way between halls, in microseconds.
-    pub hall_us: u64,
-    /// Lean of the service: 0 detection, 1 exactness.
+    /// One-way latency between halls in microseconds.
+    pub hall_latency_us: u64,
+    /// Trade-off of the service, from 0 (fast detection) to 1 (few false ejections).
     pub lean: f64,
-    /// Middle of the service time, in seconds.
-    pub work: f64,
-    /// Failure answers of a healthy upstream.
-    pub background: f64,
-    /// Share of the upstreams that have spells of failing.
-    pub prone: f64,
-    /// Longest time of a request.
+    /// Median service time in seconds.
+    pub service_time: f64,
+    /// Share of answers of a healthy upstream that are failures.
+    pub failure_share: f64,
+    /// Share of the upstreams that have failure episodes.
+    pub flaky_share: f64,
+    /// Deadline of a request, counted from its arrival.
     pub deadline: Duration,
 }
 
 impl Size {
-    /// Returns the age at which an attempt is overdue: 2.4 times the middle.
+    /// Returns the age at which an attempt is overdue: 2.4 times the median.
     #[must_use]
-    pub fn work_limit(&self) -> Duration {
-        Duration::from_secs_f64(self.work * 2.4)
+    pub fn overdue_age(&self) -> Duration {
+        Duration::from_secs_f64(self.service_time * 2.4)
     }
 }
 
-/// Service times and failures of a service whose work is short.
-const SHORT: (f64, f64, f64, Duration) = (0.05, 0.001, 0.0, Duration::from_secs(2));
+/// Median service time, failure share, flaky share and deadline of a fast service.
+const FAST_SERVICE: (f64, f64, f64, Duration) = (0.05, 0.001, 0.0, Duration::from_secs(2));
 
-/// Vakatoro leans to detection, Cwtch Bowl to few false ejections.
+/// All sizes; Vakatoro prefers fast detection, Cwtch Bowl few false ejections.
 pub const SIZES: [Size; 9] = [
     Size {
         name: "guestlist",
@@ -54,12 +54,12 @@
         slots: 3,
         connections: 220,
         halls: 3,
-        hall_us: 500,
+        hall_latency_us: 500,
         lean: 0.0,
-        work: SHORT.0,
-        background: SHORT.1,
-        prone: SHORT.2,
-        deadline: SHORT.3,
+        service_time: FAST_SERVICE.0,
+        failure_share: FAST_SERVICE.1,
+        flaky_share: FAST_SERVICE.2,
+        deadline: FAST_SERVICE.3,
     },
     Size {
         name: "rsvp-commit",
@@ -69,12 +69,12 @@
         slots: 3,
         connections: 220,
         halls: 3,
-        hall_us: 500,
+        hall_latency_us: 500,
         lean: 0.0,
-        work: SHORT.0,
-        background: SHORT.1,
-        prone: SHORT.2,
-        deadline: SHORT.3,
+        service_time: FAST_SERVICE.0,
+        failure_share: FAST_SERVICE.1,
+        flaky_share: FAST_SERVICE.2,
+        deadline: FAST_SERVICE.3,
     },
     Size {
         name: "media",
@@ -84,12 +84,12 @@
         slots: 3,
         connections: 220,
         halls: 3,
-        hall_us: 500,
+        hall_latency_us: 500,
         lean: 0.0,
-        work: SHORT.0,
-        background: SHORT.1,
-        prone: SHORT.2,
-        deadline: SHORT.3,
+        service_time: FAST_SERVICE.0,
+        failure_share: FAST_SERVICE.1,
+        flaky_share: FAST_SERVICE.2,
+        deadline: FAST_SERVICE.3,
     },
     Size {
         name: "bowlplan",
@@ -99,12 +99,12 @@
         slots: 4,
         connections: 240,
         halls: 4,
-        hall_us: 1_500,
+        hall_latency_us: 1_500,
         lean: 1.0,
-        work: SHORT.0,
-        background: SHORT.1,
-        prone: SHORT.2,
-        deadline: SHORT.3,
+        service_time: FAST_SERVICE.0,
+        failure_share: FAST_SERVICE.1,
+        flaky_share: FAST_SERVICE.2,
+        deadline: FAST_SERVICE.3,
     },
     Size {
         name: "tilldogs",
@@ -114,12 +114,12 @@
         slots: 4,
         connections: 240,
         halls: 4,
-        hall_us: 1_500,
+        hall_latency_us: 1_500,
         lean: 1.0,
-        work: SHORT.0,
-        background: SHORT.1,
-        prone: SHORT.2,
-        deadline: SHORT.3,
+        service_time: FAST_SERVICE.0,
+        failure_share: FAST_SERVICE.1,
+        flaky_share: FAST_SERVICE.2,
+        deadline: FAST_SERVICE.3,
     },
     Size {
         name: "ledgerbag",
@@ -129,12 +129,12 @@
         slots: 4,
         connections: 240,
         halls: 4,
-        hall_us: 1_500,
+        hall_latency_us: 1_500,
         lean: 1.0,
-        work: SHORT.0,
-        background: SHORT.1,
-        prone: SHORT.2,
-        deadline: SHORT.3,
+        service_time: FAST_SERVICE.0,
+        failure_share: FAST_SERVICE.1,
+        flaky_share: FAST_SERVICE.2,
+        deadline: FAST_SERVICE.3,
     },
     Size {
         name: "region",
@@ -144,14 +144,14 @@
         slots: 4,
         connections: 220,
         halls: 4,
-        hall_us: 500,
+        hall_latency_us: 500,
         lean: 0.5,
-        work: SHORT.0,
-        background: SHORT.1,
-        prone: SHORT.2,
-        deadline: SHORT.3,
+        service_time: FAST_SERVICE.0,
+        failure_share: FAST_SERVICE.1,
+        flaky_share: FAST_SERVICE.2,
+        deadline: FAST_SERVICE.3,
     },
-    // The deployments on the users' platform, by their sheets.
+    // The deployments on the users' platform, according to their data sheets.
     Size {
         name: "rsvp-platform",
         boxes: 36,
@@ -160,11 +160,11 @@
         slots: 3,
         connections: 330,
         halls: 3,
-        hall_us: 500,
+        hall_latency_us: 500,
         lean: 0.0,
-        work: 0.2,
-        background: 0.012,
-        prone: 0.3,
+        service_time: 0.2,
+        failure_share: 0.012,
+        flaky_share: 0.3,
         deadline: Duration::from_secs(5),
     },
     Size {
@@ -175,11 +175,11 @@
         slots: 4,
         connections: 360,
         halls: 4,
-        hall_us: 1_400,
+        hall_latency_us: 1_400,
         lean: 1.0,
-        work: 0.27,
-        background: 0.012,
-        prone: 0.3,
+        service_time: 0.27,
+        failure_share: 0.012,
+        flaky_share: 0.3,
         deadline: Duration::from_secs(5),
     },
 ];
