--- a/tools/trial/src/model.rs
+++ b/tools/trial/src/model.rs
@@ -338,9 +338,7 @@
         match e {
             Event::Arrive => self.arrive(),
             Event::AtUpstream { request, up } => self.at_upstream(request, up),
-            Event::Finished { request, up, ok, kind } => {
-                self.upstream_finished(request, up, ok, kind)
-            }
+            Event::Finished { request, up, ok, kind } => self.complete(request, up, ok, kind),
             Event::Answer { request, ok, kind } => self.answer(request, ok, kind),
             Event::Deadline { request } => self.deadline_passed(request),
             Event::Tick { b } => self.tick(b),
--- a/tools/trial/src/model/traffic.rs
+++ b/tools/trial/src/model/traffic.rs
@@ -218,7 +218,7 @@
         }
     }
 
-    pub(super) fn upstream_finished(&mut self, request: usize, up: usize, ok: bool, kind: Outcome) {
+    pub(super) fn complete(&mut self, request: usize, up: usize, ok: bool, kind: Outcome) {
         let r = &self.requests[request];
         // A cancelled request has already freed its slot.
         if r.done || r.up != up {
