--- a/crates/honeypulley_daemon/src/peer.rs
+++ b/crates/honeypulley_daemon/src/peer.rs
@@ -176,7 +176,7 @@
 
     /// Starts a pull from a peer unless one is in flight.
     ///
-    /// A skipped pull is made up for by a later query.
+    /// The answer to a later query triggers a skipped pull again.
     fn start_pull(self: &Rc<Self>, from: SocketAddr, bundle: bool, permits: Option<()>) {
         if self.pulling.replace(true) {
             return;
--- a/crates/honeypulley_daemon/src/platform.rs
+++ b/crates/honeypulley_daemon/src/platform.rs
@@ -119,7 +119,7 @@
         Some(())
     }
 
-    /// Watches for changes after `seen`, and resets it if the platform lost that revision.
+    /// Watches for changes after `seen`; resets `seen` if the platform lost that revision.
     async fn watch(&self, prefix: &str, seen: &mut Revision) -> Option<Changes> {
         match self.platform.watch(prefix, *seen, WATCH_TIMEOUT).await {
             Ok(changes) => Some(changes),
--- a/crates/honeypulley_daemon/src/serve.rs
+++ b/crates/honeypulley_daemon/src/serve.rs
@@ -37,7 +37,7 @@
 pub struct ServeDuty {
     /// State of the serving path.
     pub gate: Arc<Gate>,
-    /// Applies updates to that state.
+    /// Applies updates to the state of the serving path.
     pub feeder: Arc<dyn Feeder>,
     /// Connection limits and shutdown timing.
     pub limits: ServeLimits,
--- a/crates/honeypulley_mesh/src/book.rs
+++ b/crates/honeypulley_mesh/src/book.rs
@@ -43,7 +43,7 @@
         Self { me, hall: hall.to_owned(), boxes, last_heard, last_contact: Time::ZERO, halls }
     }
 
-    /// Records an address; returns whether the box or its data hall is new.
+    /// Records an address; returns whether the box is new or its data hall was unknown so far.
     pub fn upsert(&mut self, b: BoxAddress) -> bool {
         if b.id == self.me {
             return false;
--- a/crates/honeypulley_mesh/src/catch_up.rs
+++ b/crates/honeypulley_mesh/src/catch_up.rs
@@ -8,9 +8,9 @@
 //! may hang. While reachable readers report that the platform is unavailable, a box only
 //! sends requests: the platform may answer other boxes, but is unlikely to answer this one.
 //!
-//! The smallest bound on a departure in any deployment is two seconds. A lost datagram is
-//! detected by the next beacon, within 0.5 s, and requested at once. The loss of every reader
-//! is detected after 1.1 s; changes are requested by 1.2 s, and the platform is read by
+//! In the strictest deployment, a departure must be known to every box within two seconds. A lost
+//! datagram is detected by the next beacon, within 0.5 s, and requested at once. The loss of every
+//! reader is detected after 1.1 s; changes are requested by 1.2 s, and the platform is read by
 //! 1.8 s.
 
 use crate::readers::SILENCE_TIMEOUT;
@@ -35,16 +35,16 @@
 /// This applies to a box that hears no reader with answers from the platform.
 /// In normal operation, the age is at most 1.1 s: the timeout of a watch and a beacon interval.
 const MAX_LIST_AGE: Duration = Duration::from_millis(1_150);
-/// Time without success after which the intervals grow.
+/// Time without success after which the intervals between actions grow.
 const BACKOFF_DELAY: Duration = Duration::from_secs(3);
-/// Factor by which the intervals grow then, since the box is probably isolated.
+/// Factor by which the intervals grow after [`BACKOFF_DELAY`], since the box is probably isolated.
 const BACKOFF_FACTOR: u32 = 8;
 
 /// Period after a fleet's first start during which full lists are pulled less often.
 ///
 /// All upstreams register within the first seconds, so that a pulled list is outdated at once.
 const FIRST_START_PERIOD: Duration = Duration::from_secs(4);
-/// Factor by which the intervals grow during that period.
+/// Factor by which the intervals grow during [`FIRST_START_PERIOD`].
 const FIRST_START_FACTOR: u32 = 4;
 
 /// Actions that are due now.
@@ -77,7 +77,7 @@
 pub struct LocalList {
     /// Version up to which the list is complete.
     pub version: Revision,
-    /// Time since the list was last known to be complete, if it ever was.
+    /// Time since the list was last known to be complete; `None` if it never was.
     pub age: Option<Duration>,
     /// What the readers' beacons of the last [`SILENCE_TIMEOUT`] report.
     pub readers: ReaderContact,
@@ -158,7 +158,7 @@
         self.newest_announced
     }
 
-    /// Returns the origin of that announcement.
+    /// Returns the origin of the announcement of the newest version.
     #[must_use]
     pub const fn source(&self) -> Option<Source> {
         self.source
--- a/crates/honeypulley_mesh/src/held.rs
+++ b/crates/honeypulley_mesh/src/held.rs
@@ -2,8 +2,8 @@
 //!
 //! The boxes keep holds in memory only, so a power loss of the whole fleet would lose them while
 //! callers keep repeating the requests. The reader of rank zero therefore writes all holds
-//! as one object whenever they change, which is a few times for each request that ends upstreams.
-//! Each box that becomes a reader reads the object once and broadcasts its holds.
+//! as one object whenever they change, which is a few times for each request that crashes
+//! upstreams. Each box that becomes a reader reads the object once and broadcasts its holds.
 
 use crate::store::{MIN_BACKOFF, StoreDuty, back_off};
 use bytes::Bytes;
@@ -16,8 +16,8 @@
 
 /// Interval between comparisons of the stored holds with those in memory.
 ///
-/// A power loss within this time after a hold loses the hold; the request then ends up to three
-/// more upstreams.
+/// A power loss within this time after a hold loses the hold; the request may then crash up to
+/// three more upstreams.
 const SYNC_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Stored form of all holds.
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Converts a stored hold to news of it.
+    /// Converts a stored hold to an update for the quarantine.
     fn request_news(&self, unix_now: Duration) -> RequestUpdate {
         RequestUpdate::Held {
             request: Fingerprint(self.request),
--- a/crates/honeypulley_mesh/src/list.rs
+++ b/crates/honeypulley_mesh/src/list.rs
@@ -97,7 +97,7 @@
     Same,
     /// Written later in the same epoch.
     Newer,
-    /// From a later epoch; it may have been written earlier.
+    /// Of a later epoch, in which a restore may have brought back an earlier write.
     Restored,
 }
 
@@ -230,7 +230,7 @@
     version: Revision,
     /// Newest known epoch of the platform, possibly newer than that of the list.
     epoch: u64,
-    /// When entries absent from the list of that epoch count as departed.
+    /// When entries absent from the list of `epoch` count as departed.
     missing_due: Time,
     /// When the list was last known to be complete.
     as_of: Option<Time>,
@@ -367,7 +367,8 @@
 
     /// Returns the current entry of every upstream changed after `since`.
     ///
-    /// Returns `None` if some tombstones may have been pruned, or if this list is older.
+    /// Returns `None` if no full list has been applied, if some tombstones after `since` may have
+    /// been pruned, or if this list is older than `since`.
     #[must_use]
     pub fn changes_after(&self, since: Revision, now: Time) -> Option<Vec<Entry>> {
         let may_be_pruned = since.epoch == self.version.epoch && since < self.pruned;
--- a/crates/honeypulley_mesh/src/lists.rs
+++ b/crates/honeypulley_mesh/src/lists.rs
@@ -66,8 +66,8 @@
 
 /// Caps the hold of departed entries at the hold that this box would apply.
 ///
-/// A box that was isolated mistakes that for an outage of the platform, and its longer hold
-/// would make its peers keep sending work to departed upstreams.
+/// A peer that was isolated takes its isolation for an outage of the platform and sends longer
+/// holds, with which this box would keep sending work to departed upstreams.
 fn cap_holds(mut entries: Vec<Entry>, max: Duration) -> Vec<Entry> {
     for e in &mut entries {
         if let EntryState::Gone { hold } = &mut e.state {
@@ -156,7 +156,7 @@
 
     /// Applies a full list read from the platform.
     ///
-    /// A reader broadcasts the resulting changes, as it does those from its watch.
+    /// A reader broadcasts the resulting changes, like those from its watch.
     pub fn apply_full_list(&self, c: &Changes, from: &str) {
         let hold = self.readers().departure_hold(self.now());
         let entries = self.decode_entries(c, hold);
@@ -186,7 +186,7 @@
 
     /// Applies a full list from a stale read, which may be some seconds old.
     ///
-    /// It is complete up to its version; the readers broadcast newer changes.
+    /// The list is complete up to its version; the readers broadcast newer changes.
     pub fn apply_stale_list(&self, c: &Changes, from: &str) {
         let hold = self.readers().departure_hold(self.now());
         let entries = self.decode_entries(c, hold);
--- a/crates/honeypulley_mesh/src/pace.rs
+++ b/crates/honeypulley_mesh/src/pace.rs
@@ -1,7 +1,7 @@
-//! Batching of the news of attempts within a data hall.
+//! Batching of updates about attempts within a data hall.
 //!
-//! The start of an attempt keeps the peers from the same upstream, so it is sent at once. The end
-//! can wait for the next datagram. Every datagram goes to each box of the hall, and two for each
+//! The start of an attempt is sent at once, since peers then prefer other upstreams. The end can
+//! wait for the next datagram. Every datagram goes to each box of the data hall, and two for each
 //! request would be most of a box's control traffic.
 
 use honeypulley_peer::codec::MAX_ITEMS;
@@ -9,22 +9,22 @@
 use honeypulley_policy::time::Time;
 use std::time::Duration;
 
-/// Maximum delay of the news of a finished attempt, for each other box of the hall.
+/// Maximum delay of the update about a finished attempt, for each other box of the data hall.
 ///
-/// In a small hall, where a broadcast is cheap, the news is sent nearly at once.
+/// In a small data hall, where a broadcast is cheap, the update is sent nearly at once.
 const DELAY_PER_BOX: Duration = Duration::from_micros(2_500);
-/// Upper bound of that delay in a data hall of any size.
+/// Upper bound of the delay of an update about a finished attempt, in a data hall of any size.
 ///
-/// To its peers, each request seems to last longer by the delay.
+/// To the other boxes, each request seems to last longer by the delay.
 const MAX_DELAY: Duration = Duration::from_millis(150);
 
-/// News waiting to be sent to the boxes of the data hall.
+/// Updates waiting to be sent to the boxes of the data hall.
 #[derive(Debug, Default)]
 pub struct UpdateBatcher {
     pending: Vec<Pending>,
 }
 
-/// A piece of news with the time at which it was queued.
+/// An update with the time at which it was queued.
 #[derive(Debug)]
 struct Pending {
     news: Update,
@@ -32,12 +32,12 @@
 }
 
 impl UpdateBatcher {
-    /// Queues news that arose at `now`.
+    /// Queues an update of an event at `now`.
     pub fn add(&mut self, news: Update, now: Time) {
         self.pending.push(Pending { news, at: now });
     }
 
-    /// Returns when the queued news is due in a hall of `boxes` other boxes.
+    /// Returns when the queued updates are due in a data hall of `boxes` other boxes.
     #[must_use]
     pub fn deadline(&self, boxes: usize) -> Option<Time> {
         let first = self.pending.first()?;
@@ -48,7 +48,9 @@
         Some(first.at + delay.min(MAX_DELAY))
     }
 
-    /// Removes one datagram's worth of news, oldest first, and sets the age of each end.
+    /// Removes the updates for one datagram, oldest first.
+    ///
+    /// Each update about a finished attempt gets the time since the attempt ended.
     pub fn drain(&mut self, now: Time) -> Vec<Update> {
         let count = self.pending.len().min(MAX_ITEMS);
         self.pending.drain(..count).map(|p| p.news.aged(now.since(p.at))).collect()
--- a/crates/honeypulley_mesh/src/peers.rs
+++ b/crates/honeypulley_mesh/src/peers.rs
@@ -76,7 +76,8 @@
                 newcomers: RefCell::default(),
                 newcomer_added: Notify::new(),
                 held_cursor: Cell::new(0),
-                // No queries while the platform may still list these boxes.
+                // Starts at the limit, so that unknown boxes are not queried until the first hello
+                // interval: the platform's list of boxes may name them by then.
                 queries_sent: Cell::new(greet::MAX_QUERIES),
             });
             tokio::select! {
--- a/crates/honeypulley_mesh/src/peers/greet.rs
+++ b/crates/honeypulley_mesh/src/peers/greet.rs
@@ -15,7 +15,7 @@
 
 /// Number of peers that a starting box sends hellos or requests to.
 ///
-/// More than one, since some may have left undetected.
+/// More than one, since some may have failed without having been detected.
 const CONTACTED_PEERS: usize = 3;
 /// Interval between hellos to the seeds while no other box is known.
 const HELLO_INTERVAL: Duration = Duration::from_millis(500);
@@ -25,8 +25,8 @@
 const LISTING_WAIT: Duration = Duration::from_millis(250);
 /// Bounds of the delay during which newcomers are batched, in milliseconds.
 ///
-/// Boxes that start together reach each of three seeds within 0.3 s. The first seed to
-/// announce them spares the others most of their announcements.
+/// Boxes that start together reach each of three seeds within 0.3 s. Once one seed has announced
+/// them, the other seeds omit them from their own announcements.
 const GATHER_DELAY_MS: (u64, u64) = (100, 350);
 /// Maximum number of queries to unknown boxes in each [`HELLO_INTERVAL`].
 pub(super) const MAX_QUERIES: u32 = 8;
--- a/crates/honeypulley_mesh/src/peers/outbox.rs
+++ b/crates/honeypulley_mesh/src/peers/outbox.rs
@@ -13,7 +13,7 @@
 
 /// Timeout for sending one datagram to one recipient.
 ///
-/// The next beacon makes up for a datagram lost to it.
+/// A datagram that times out is dropped; the next beacon reveals the loss.
 const SEND_TIMEOUT: Duration = Duration::from_millis(5);
 /// Capacity of each queue.
 ///
@@ -113,7 +113,7 @@
         match sent {
             Ok(Ok(_)) => {}
             Ok(Err(e)) => log::debug!(peer:display = addr; "peer: not sent to {addr}: {e}"),
-            Err(_) => log::warn!(peer:display = addr; "peer: not sent to {addr}: the link is full"),
+            Err(_) => log::warn!(peer:display = addr; "peer: not sent to {addr}: timed out"),
         }
     }
 }
--- a/crates/honeypulley_mesh/src/peers/pull.rs
+++ b/crates/honeypulley_mesh/src/peers/pull.rs
@@ -19,7 +19,8 @@
 const RETRY_DELAY: Duration = Duration::from_millis(150);
 /// Timeout for pulling a table from the parent in the distribution tree.
 ///
-/// It leaves time for the platform and another peer within the smallest bound, two seconds.
+/// It leaves time to try the platform and another peer within the two seconds in which a table
+/// must reach every box in the strictest deployment.
 const TREE_TIMEOUT: Duration = Duration::from_millis(400);
 /// Maximum lag of one reader's watch behind that of another.
 const WATCH_LAG: Duration = Duration::from_millis(60);
@@ -115,8 +116,8 @@
 
     /// Answers a peer's request for the changes after a version.
     ///
-    /// A box with an older list does not answer. One with the same version reports when its
-    /// list was last known to be complete.
+    /// A box with an older list does not answer. A box with the same version answers without
+    /// entries, which tells the peer when the list was last known to be complete.
     pub(super) fn answer_request(&self, after: Revision, to: SocketAddr) {
         match self.mesh.changes_after(after) {
             Some(parts) => parts.into_iter().for_each(|t| self.send_to(&[to], Body::Changes(t))),
@@ -197,9 +198,9 @@
             tokio::time::timeout(FETCH_TIMEOUT, fetch_table(&self.mesh, self.platform.as_ref()));
         match fetched.await {
             Ok(Ok(Some(o))) => self.mesh.apply_table(&o, "platform"),
-            Ok(Ok(None)) => log::warn!("table: the platform has none"),
+            Ok(Ok(None)) => log::warn!("table: the platform has no routing table"),
             Ok(Err(e)) => log::info!("table: not read from the platform: {e}"),
-            Err(_) => log::info!("table: not read from the platform: no answer in time"),
+            Err(_) => log::info!("table: not read from the platform: the read timed out"),
         }
         // The reader has the table; the forwarder of its announcement may lack it too.
         for from in [self.address(pending.origin), Some(pending.announcer)].into_iter().flatten() {
--- a/crates/honeypulley_mesh/src/peers/tell.rs
+++ b/crates/honeypulley_mesh/src/peers/tell.rs
@@ -16,18 +16,20 @@
 const BROADCAST_STAGGER: Duration = Duration::from_millis(60);
 /// Delay from a broadcast change to a follow-up beacon, which reveals its loss.
 ///
-/// The next regular beacon may be half a second away, a quarter of the smallest bound on a
-/// departure. A release brings thirty changes per second, which one beacon covers.
+/// The next regular beacon may be half a second away, a quarter of the two seconds in which a
+/// departure must reach every box in the strictest deployment. A release brings thirty changes
+/// per second, which one beacon covers.
 const FOLLOW_UP_DELAY: Duration = Duration::from_millis(150);
 /// Number of boxes per remote data hall that forward updates about tables and lists.
 ///
-/// More than one, since some may have left undetected.
+/// More than one, since some may have failed without having been detected.
 pub(super) const LIST_FORWARDERS: usize = 3;
 /// Number of boxes per remote data hall that forward observations of upstreams.
 const UPSTREAM_FORWARDERS: usize = 2;
 /// Age of the platform's last answer above which reads count as failing.
 ///
-/// It is far above the age of a fresh answer, and below the value that stands for no answer.
+/// The limit is far above the age of a fresh answer, and far below the 3,600 s that are reported
+/// while the platform does not answer.
 const MAX_READ_AGE: Duration = Duration::from_secs(60);
 
 impl Node {
@@ -67,8 +69,8 @@
 
     /// Broadcasts changes from this box's watch of the platform; returns whether any were sent.
     ///
-    /// The reader with the lowest id does so at once. Each other one waits for its turn, and
-    /// skips what it has received completely from a peer by then.
+    /// The reader with the lowest id broadcasts at once. Each other reader waits in order of ids,
+    /// and skips changes that it has received completely from a peer by then.
     async fn broadcast_changes(&self) -> bool {
         let pending = self.mesh.take_pending_broadcasts();
         if pending.is_empty() {
@@ -161,7 +163,7 @@
         self.broadcast(Body::Requests { seq, items }, LIST_FORWARDERS);
     }
 
-    /// Awaits an observation; returns `None` when paced observations are due first.
+    /// Awaits an observation; returns `None` once delayed observations are due.
     async fn next_news(&self, batcher: &UpdateBatcher) -> Option<Update> {
         let next = self.mesh.updates_out.recv();
         let Some(due) = batcher.deadline(self.mesh.address_book().hall_addresses().count()) else {
--- a/crates/honeypulley_mesh/src/readers.rs
+++ b/crates/honeypulley_mesh/src/readers.rs
@@ -53,7 +53,7 @@
 const NARROW_LINK_STOP_PROBABILITY: f64 = 0.3;
 /// Maximum probability, per decision, of starting to read if no reader is reachable.
 const MAX_START_PROBABILITY: f64 = 0.4;
-/// Expected number of boxes that start per round then.
+/// Expected number of boxes that start to read per decision if no reader is reachable.
 ///
 /// The first one to start announces itself at once, which keeps the rest from starting.
 const EXPECTED_STARTS: f64 = 8.0;
@@ -83,7 +83,7 @@
     last_answer: Option<Time>,
     /// When this box last received the answer of a stale read.
     stale_answer: Option<Time>,
-    /// Whether the platform has failed to answer some box since then.
+    /// Whether the platform has failed to answer some box since it last answered any.
     has_failed: bool,
     /// When the platform last became available again.
     returned_at: Option<Time>,
@@ -113,7 +113,7 @@
 
     /// Sets whether this box has a narrow link.
     ///
-    /// Such a box leaves reading to others if they suffice.
+    /// A box with a narrow link leaves reading to others if they suffice.
     #[must_use]
     pub const fn with_slow_link(mut self, narrow: bool) -> Self {
         self.narrow_link = narrow;
@@ -160,7 +160,7 @@
 
     /// Records the answer of a stale read, which may be some seconds old.
     ///
-    /// It proves that the platform is available, but not what its objects currently are.
+    /// A stale read proves that the platform is available, but not what its objects currently are.
     pub const fn record_stale_answer(&mut self, now: Time) {
         self.stale_answer = Some(now);
     }
@@ -203,8 +203,8 @@
 
     /// Returns how long to wait for a removed entry to be listed again.
     ///
-    /// It is zero unless the platform is, or was recently, unavailable. Silence of the
-    /// readers is no evidence of an outage: if it were treated as one, every unannounced
+    /// The hold is zero unless the platform is, or was recently, unavailable. Silence of the
+    /// readers is no evidence of an outage: if silence counted as one, every unannounced
     /// departure would take effect 2.3 s late whenever all readers had been lost.
     #[must_use]
     pub fn departure_hold(&self, now: Time) -> Duration {
@@ -242,6 +242,8 @@
     }
 
     /// Summarizes the readers' beacons of the last [`SILENCE_TIMEOUT`].
+    ///
+    /// A starting box that has received no beacon yet assumes that a reader gets answers.
     #[must_use]
     pub fn reader_contact(&self, now: Time) -> ReaderContact {
         if self.is_silent(now) {
@@ -260,7 +262,7 @@
 
     /// Returns the bounds of the time until the next [`Self::decide`], in milliseconds.
     ///
-    /// It is short while no reader is reachable, since departures go undetected meanwhile.
+    /// The time is short while no reader is reachable, since departures then go undetected.
     #[must_use]
     pub fn decide_interval(&self, now: Time) -> (u64, u64) {
         let is_urgent = self.is_silent(now) && !self.is_reading();
@@ -268,6 +270,8 @@
     }
 
     /// Returns whether no reader's beacon has arrived for [`SILENCE_TIMEOUT`].
+    ///
+    /// Before the first beacon, a grace period of 3 s after the start of the box applies instead.
     #[must_use]
     pub fn is_silent(&self, now: Time) -> bool {
         let since = |t: Time| now.since(t);
--- a/crates/honeypulley_mesh/src/serving.rs
+++ b/crates/honeypulley_mesh/src/serving.rs
@@ -1,4 +1,4 @@
-//! Routing and balancing on the serving thread, and the news that they produce.
+//! Routing and balancing on the serving thread, and the updates for other boxes that they produce.
 
 use crate::doubts::SuspicionLog;
 use crate::list::ListChange;
@@ -26,7 +26,7 @@
 /// Minimum `Retry-After` while this box lacks a table or list.
 const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(400);
 
-/// A balancer and the organisations' limits, whose news is queued for broadcast at once.
+/// A balancer and the organisations' limits, whose updates are queued for broadcast at once.
 #[derive(Debug)]
 pub struct BroadcastBalancer {
     balancer: Balancer,
@@ -35,7 +35,7 @@
 }
 
 impl BroadcastBalancer {
-    /// Wraps a balancer and limits, whose news is sent to the other boxes of `mesh`.
+    /// Wraps a balancer and limits, whose updates are sent to the other boxes of `mesh`.
     #[must_use]
     pub const fn new(balancer: Balancer, limits: FleetRateLimiter, mesh: Arc<Mesh>) -> Self {
         Self { balancer, limits, mesh }
@@ -51,7 +51,7 @@
         &mut self.limits
     }
 
-    /// Queues pending news for broadcast.
+    /// Queues pending updates for broadcast.
     fn announce(&mut self) {
         // Admissions come first, so that one is sent with the attempt that follows it.
         let news = self.limits.take_updates().into_iter().chain(self.balancer.take_updates());
@@ -276,7 +276,7 @@
     /// Returns `None` if the route is public or the table has no organisations.
     ///
     /// # Errors
-    /// Returns our own answer if no organisation of the table holds the caller's key. As with
+    /// Returns the box's own answer if no organisation of the table holds the caller's key. As with
     /// routes, a box that may lack a newer table does not answer that the key is unknown.
     fn caller_organisation(
         &self,
@@ -328,14 +328,14 @@
     OwnAnswer::not_run(StatusCode::SERVICE_UNAVAILABLE, Some(retry_after), why)
 }
 
-/// Applies tables, lists and news to the policy on the serving thread.
+/// Applies tables, lists and updates of other boxes to the policy on the serving thread.
 #[derive(Debug)]
 pub struct BalancerUpdater {
     /// Shared state of this box.
     pub mesh: Arc<Mesh>,
     /// Balancer and limits.
     pub policy: Arc<Mutex<BroadcastBalancer>>,
-    /// Rate-limited log of the doubts that other boxes raise.
+    /// Rate-limited log of the doubts about upstreams that reports of other boxes raise.
     pub doubts: Mutex<SuspicionLog>,
 }
 
@@ -361,7 +361,7 @@
 }
 
 impl BalancerUpdater {
-    /// Applies a received piece of news and all news queued behind it.
+    /// Applies a received update and all updates queued behind it.
     fn apply_news(&self, from: NameId, first: Update) {
         let mut policy = self.policy.lock();
         let now = self.mesh.now();
--- a/crates/honeypulley_mesh/src/state.rs
+++ b/crates/honeypulley_mesh/src/state.rs
@@ -40,10 +40,10 @@
 /// Capacity of the queues of belief requests and replies; beyond it the oldest is dropped.
 const BELIEF_QUEUE_SIZE: usize = 64;
 
-/// Boxes of a data hall that announce the totals of one subject to the other halls.
+/// Number of boxes of a data hall that announce the totals of one subject to the other halls.
 ///
-/// The second covers for the first. A silent box counts as present for 5 s, so an announcement is
-/// missed only if both boxes fail within that time.
+/// The second box covers for a failure of the first. A silent box counts as present for 5 s, so an
+/// announcement is missed only if both boxes fail within that time.
 const ANNOUNCERS: usize = 2;
 
 /// Age reported for a list that was never complete.
@@ -174,9 +174,9 @@
 pub struct PendingTable {
     /// Number of the table.
     pub number: u64,
-    /// Reader that first announced it.
+    /// Box whose beacon announced the table.
     pub origin: NameId,
-    /// Address of the box whose datagram announced it; it may be a forwarder.
+    /// Address from which the beacon arrived, possibly that of a forwarder.
     pub announcer: SocketAddr,
 }
 
@@ -264,7 +264,7 @@
         *self.seeds.lock() = seeds;
     }
 
-    /// Records the address of a box; returns whether it was new.
+    /// Records the address of a box; returns whether the box is new or its data hall was unknown.
     pub fn add_address(&self, b: BoxAddress) -> bool {
         self.book.lock().upsert(b)
     }
@@ -286,7 +286,7 @@
         Scope { boxes: book.count(), halls: book.hall_sizes().len(), alone: book.is_isolated(now) }
     }
 
-    /// Returns this box's rank among its hall's announcers of a subject, if it is one.
+    /// Returns this box's rank among its hall's announcers of a subject, if it is an announcer.
     #[must_use]
     pub fn announcer_rank(&self, subject: NameId, now: Time) -> Option<usize> {
         let rank = self.book.lock().rank(subject, now);
--- a/crates/honeypulley_mesh/src/store.rs
+++ b/crates/honeypulley_mesh/src/store.rs
@@ -11,18 +11,20 @@
 
 /// Initial backoff after a failed call; it doubles with each further failure.
 pub(crate) const MIN_BACKOFF: Duration = Duration::from_millis(150);
-/// Upper bound of that backoff.
+/// Upper bound of the backoff after a failed call.
 const MAX_BACKOFF: Duration = Duration::from_millis(1_000);
 /// Delay between watches on the broadcasting reader, so that changes are batched.
 ///
 /// Each change wakes the watch of every reader. The delay follows the delivery of a change, so a
 /// single change is not held back.
 const BROADCASTER_BATCH_DELAY: Duration = Duration::from_millis(80);
-/// The same delay on the other readers, which broadcast only what that reader has not.
+/// Delay between watches on the other readers.
+///
+/// They broadcast only changes that the reader with the lowest id has not broadcast in time.
 const STANDBY_BATCH_DELAY: Duration = Duration::from_millis(250);
 /// Time after startup before any box becomes a reader, so that beacons spread.
 const STARTUP_DELAY: Duration = Duration::from_millis(700);
-/// The same at the first start of a whole fleet, when boxes know few peers yet.
+/// As [`STARTUP_DELAY`], at the first start of a whole fleet, when boxes know few peers yet.
 const FIRST_STARTUP_DELAY: Duration = Duration::from_millis(1_300);
 
 /// Joins the fleet through the platform's store and reads the store.
@@ -201,7 +203,7 @@
         loop {
             self.mesh.reread_wakeup.notified().await;
             log::warn!(
-                "list: rereading it from the platform, no peer has supplied the missing changes"
+                "list: rereading the platform, since no peer has supplied the missing changes"
             );
             // A failure is recorded and logged by `read_list`; the peers are asked again below.
             let _ = self.read_list(Freshness::Latest).await;
--- a/crates/honeypulley_observe/src/departures.rs
+++ b/crates/honeypulley_observe/src/departures.rs
@@ -1,8 +1,8 @@
 //! Reports how the departure of an upstream spread over the boxes, from their logs.
 //!
-//! For every upstream that left, it tells boxes that learned of it late from boxes that
-//! never did. Times come from the clocks of the boxes, which may differ by some
-//! milliseconds.
+//! For every upstream that left, the report distinguishes boxes that learned of the departure
+//! late from boxes that never did. Times come from the clocks of the boxes, which may differ by
+//! some milliseconds.
 
 use crate::explain::Line;
 use jiff::Timestamp;
@@ -14,17 +14,17 @@
 pub struct Departure {
     /// Name of the upstream that left.
     pub upstream: String,
-    /// Timestamp at which the first box learned of it.
+    /// Timestamp at which the first box learned of the departure.
     pub at: String,
-    /// Box that learned of it first, and the source of its update.
+    /// Box that learned of the departure first, and the source of its update.
     pub first: (String, String),
-    /// Number of boxes that learned of it.
+    /// Number of boxes that learned of the departure.
     pub heard: usize,
     /// Median delay of the boxes after the first one, in ms.
     pub middle_ms: i64,
     /// Delay of the last box after the first one, in ms.
     pub last_ms: i64,
-    /// Box that learned of it last, and the source of its update.
+    /// Box that learned of the departure last, and the source of its update.
     pub last: (String, String),
     /// Boxes that logged the upstream as live but never that it left.
     pub never: Vec<String>,
--- a/crates/honeypulley_observe/src/losses.rs
+++ b/crates/honeypulley_observe/src/losses.rs
@@ -2,8 +2,8 @@
 //!
 //! The groups show where a fleet loses most requests: by service, by the reason for which
 //! the first upstream was selected, and by whether a retry was denied. Each row also shows
-//! the load of that upstream and the probability that it was unhealthy, as its box knew
-//! them at the selection.
+//! the load of the first upstream and the probability that it was unhealthy, as the request's
+//! box estimated them at the selection.
 
 use crate::explain::Line;
 use serde::Serialize;
--- a/crates/honeypulley_peer/schema/peer.capnp
+++ b/crates/honeypulley_peer/schema/peer.capnp
@@ -1,6 +1,7 @@
 @0xd1f5a4c09b7e2c33;
 
-# One datagram. A keyed BLAKE3 digest of sixteen bytes follows the message.
+# One datagram. The message is followed by its authentication tag, the first sixteen bytes of a
+# keyed BLAKE3 digest.
 struct Datagram {
   sender @0 :UInt64;
   union {
@@ -29,38 +30,40 @@
       holdMs @13 :UInt32;
       witnesses @14 :UInt16;
     }
-    # The sender is new, or does not know the receiver; the answer is a book.
+    # Introduces a sender that has just started or does not know the receiver; answered by a book.
     hello :group {
       helloHall @15 :Text;
-      # Asks for all boxes that the receiver knows; else for the receiver alone.
+      # Whether the answer lists all boxes that the receiver knows, or the receiver alone.
       wantsBook @16 :Bool;
-      # The sender has just started and asks what others believe of upstreams.
+      # Whether the receiver is to send its beliefs about upstreams, for a box that has just
+      # started.
       wantsBeliefs @34 :Bool;
     }
     # Boxes that the sender knows.
     book :group {
       boxes @17 :List(BoxAddress);
     }
-    # What the sender has, and whether it reads the platform itself.
+    # Periodic report of the versions that the sender has and its role as reader.
     beacon :group {
       tableVersion @18 :UInt64;
       listVersion @19 :UInt64;
       listEpoch @38 :UInt64;
       # The newest epoch of the platform that the sender knows of.
       epoch @39 :UInt64;
-      # The platform was restored in the last seconds: old answers may be from before.
+      # Whether the sender detected a restore of the platform within the last 15 s, so that stale
+      # reads may predate the restore.
       restored @43 :Bool;
       reader @20 :Bool;
       # Milliseconds since the platform last answered the sender.
       readAgeMs @21 :UInt32;
       # Milliseconds since the sender's list was last known to be complete.
       listAgeMs @28 :UInt32;
-      # The platform fails the sender's calls.
+      # Whether the sender's calls to the platform fail.
       unable @33 :Bool;
     }
     news :group {
       seen @22 :List(NewsItem);
-      # Number of this news at its sender, since it may come by several ways.
+      # Sequence number of the sender, since the datagram may arrive by several paths.
       seq @26 :UInt32;
     }
     # Changes of the list of upstreams.
@@ -70,23 +73,23 @@
       sinceEpoch @40 :UInt64;
       uptoEpoch @41 :UInt64;
       entries @25 :List(Entry);
-      # Which part of the changes this is, and how many there are.
+      # Index of this fragment, starting at zero, and number of fragments.
       part @29 :UInt16;
       parts @30 :UInt16;
       # Milliseconds since the sender's list was last known to be complete.
       toldAgeMs @31 :UInt32;
     }
-    # Asks for the changes after a version.
+    # Requests the changes after a version.
     want :group {
       after @32 :UInt64;
       afterEpoch @42 :UInt64;
     }
-    # A sealed datagram to be sent on to the receiver's data hall, as it is.
+    # A sealed datagram that the receiver forwards unchanged within its data hall.
     forward @27 :Data;
-    # What the sender knows of requests under which upstreams ended.
+    # Updates about requests during which upstreams crashed.
     requests :group {
       requestItems @35 :List(RequestItem);
-      # Number of this news at its sender, of the same row as those of news.
+      # Sequence number of the sender, shared with news.
       requestsSeq @36 :UInt32;
     }
   }
@@ -101,21 +104,23 @@
   struct NewsItem {
     subject @0 :UInt64;
     kind @1 :NewsKind;
-    # Attempts open there; of a retry or a denied one, requests within the window; of a belief, 255ths: the first phase in the upper eight bits.
+    # For open and ended: the sender's attempts in flight at the upstream. For retry and denied:
+    # requests that the sender received within the window. For belief: the two phase probabilities
+    # in steps of 1/255, the first in the upper eight bits.
     count @2 :UInt16;
-    # Of an attempt that ended: whether it was answered well.
+    # For ended: whether the attempt was answered successfully.
     served @3 :Bool;
-    # Requests of other data halls there and one more; zero if nothing was reported. Of a
-    # retry or a denied one, the sender's extra sends within the window.
+    # For ended: requests of other data halls at the upstream, plus one; zero if the upstream
+    # reported no load. For retry and denied: the sender's retries within the window.
     far @4 :UInt8;
-    # Of an attempt that ended: milliseconds since.
+    # For ended: milliseconds since the end of the attempt.
     agoMs @5 :UInt16;
-    # Of what a data hall admitted: which hall, and the requests of the window's last fifth.
+    # For hallAdmitted: the data hall, and its admissions within the last fifth of the window.
     hall @6 :UInt64;
     latest @7 :UInt16;
-    # Of the same, what is left of the subject's burst.
+    # For hallAdmitted: the subject's remaining tokens, as estimated by the sender.
     level @8 :Int16;
-    # Of a limit that an upstream names, requests a second; zero if it names none any more.
+    # For limit: requests per second; zero if the upstream withdrew its limit.
     rate @9 :Float32;
   }
 
@@ -133,31 +138,33 @@
     belief @10;
     hung @11;
     denied @12;
-    # Count is the extra sends of all boxes within the window.
+    # Count: retries of all boxes within the window.
     spent @13;
     ended @14;
-    # Count is the requests of a subject with a limit that the sender admitted since it started.
+    # Count: the subject's requests that the sender admitted since its start, modulo 2^16.
     admitted @15;
-    # Count is the requests of such a subject that a data hall admitted, as the sender counts.
+    # Count: the subject's requests that a data hall admitted, as counted by the sender, modulo
+    # 2^16.
     hallAdmitted @16;
-    # An upstream names a limit over all boxes, or none any more.
+    # An upstream advertised or withdrew a rate limit for the whole fleet.
     limit @17;
     # An upstream announced its shutdown.
     leaving @18;
   }
 
   struct RequestItem {
-    # Keyed digest of the request, with its caller or of its content alone.
+    # Fingerprint of the request: a keyed digest of its caller and content, or of its content alone.
     request @0 :UInt64;
     content @1 :Bool;
     kind @2 :RequestKind;
-    # The upstream that ended.
+    # For ended: the upstream that crashed.
     upstream @3 :UInt64;
-    # Milliseconds since the request was sent to it.
+    # For ended: milliseconds since the request was sent to the upstream.
     beganMs @4 :UInt32;
-    # Milliseconds since the end or the answer; of a hold, until it lapses.
+    # For ended and served: milliseconds since the crash or the answer. For held: milliseconds until
+    # the hold expires.
     spanMs @5 :UInt32;
-    # Of a hold: trials after which it was held again.
+    # For held: number of trials after which the request was held again.
     trials @6 :UInt8;
   }
 
@@ -170,9 +177,9 @@
   struct Entry {
     name @0 :Text;
     version @1 :UInt64;
-    # Gone from the list; the rest is empty then.
+    # Whether the entry was deleted; the fields that describe the upstream are then empty.
     gone @2 :Bool;
-    # Milliseconds to wait for it to come back before it is taken for gone.
+    # For a deleted entry: milliseconds to wait for its return before the upstream counts as gone.
     holdMs @3 :UInt32;
     service @4 :Text;
     addr @5 :Text;
@@ -180,7 +187,7 @@
     leaving @7 :Bool;
     slots @8 :UInt16;
     coldMs @9 :UInt32;
-    # Milliseconds since 1970 at which it started; zero if it does not say.
+    # Start time of the upstream in milliseconds since the Unix epoch; zero if unknown.
     born @10 :UInt64;
     # Epoch of the platform that the version belongs to.
     epoch @11 :UInt64;
@@ -199,31 +206,31 @@
   }
 }
 
-# First object of a connection. The peer is given out against a keyed digest
-# of the challenge.
+# Bootstrap interface of a connection. A login with a keyed digest of the challenge returns the
+# authenticated interface.
 interface Gate {
   challenge @0 () -> (nonce :Data);
   login @1 (proof :Data) -> (peer :Peer);
 }
 
 interface Peer {
-  # The head in force, as JSON, empty if there is none.
+  # The head of the newest accepted bundle as JSON, empty if there is none.
   head @0 () -> (json :Data);
-  # The manifest in force. Against one that the caller has, by digest, only the
-  # changes are given if that one is still remembered; else it is given in full.
+  # The manifest of the newest accepted bundle. If `have` is the digest of a manifest that the box
+  # still remembers, only the changes from that manifest are returned, otherwise the full manifest.
   manifest @1 (have :Data) -> (full :Data, changes :List(Change));
-  # Parts by digest; one that is not held is empty.
+  # Parts by digest; a part that the box lacks is empty.
   parts @2 (digests :List(Data)) -> (parts :List(Data));
-  # All permits as JSON with their version and the age of its confirmation.
+  # All permits as JSON, with their version and the age of their last confirmation.
   permits @3 () -> (version :UInt64, confirmed :Bool, ageMs :UInt32, json :Data, epoch :UInt64);
-  # What an operator sees of this box, as JSON.
+  # Status of the box for operators, as JSON.
   status @4 () -> (json :Data);
-  # The platform's list as this box last saw it, as JSON, empty if it never did.
+  # The platform's roster as last received, as JSON; empty if it never was.
   roster @5 () -> (json :Data);
-  # The routing table as the platform holds it, and the version of the platform. Waits so
-  # long for one of at least that number.
+  # The routing table in the platform's encoding, and the revision of its object. The answer is
+  # delayed by up to `waitMs` until the box has a table of at least `number`.
   table @6 (number :UInt64, waitMs :UInt32) -> (version :UInt64, value :Data, epoch :UInt64);
-  # Every entry of the list of upstreams, and the version it is complete up to.
+  # All entries of the list of upstreams, and the version up to which the list is complete.
   upstreams @7 () -> (version :UInt64, entries :List(Datagram.Entry), epoch :UInt64);
 
   struct Change {
--- a/crates/honeypulley_peer/src/client.rs
+++ b/crates/honeypulley_peer/src/client.rs
@@ -84,7 +84,7 @@
         Ok(Self { addr, peer, task })
     }
 
-    /// Returns the head of the peer's active bundle.
+    /// Returns the head of the peer's newest accepted bundle.
     ///
     /// # Errors
     /// Returns a [`PeerError`] on a time-out or a malformed answer.
@@ -180,7 +180,7 @@
         with_timeout(self.addr, "status", call).await
     }
 
-    /// Returns the platform's list as last received by the peer, as JSON.
+    /// Returns the platform's roster as last received by the peer, as JSON; empty if it never was.
     ///
     /// # Errors
     /// Returns a [`PeerError`] on a time-out or a malformed answer.
--- a/crates/honeypulley_peer/src/codec.rs
+++ b/crates/honeypulley_peer/src/codec.rs
@@ -37,14 +37,14 @@
     Tell {
         /// Number of the request.
         nonce: u64,
-        /// Active bundle version, zero if no bundle is active.
+        /// Version of the newest accepted bundle, zero if there is none.
         bundle: Version,
         /// Revision of the cached permits.
         permits: Revision,
         /// Time since the permits were last confirmed, if they ever were.
         age: Option<Duration>,
     },
-    /// Announces that a bundle has become active.
+    /// Announces that the sender has accepted a bundle.
     Rumour {
         /// Version of the bundle.
         bundle: Version,
@@ -73,7 +73,7 @@
     Book(Vec<BoxAddress>),
     /// Periodically reports what the sender has cached and whether it is a reader.
     Beacon(Beacon),
-    /// Updates with the sender's evidence on upstreams.
+    /// Updates on upstreams, retries and limits, from the sender's evidence.
     News {
         /// Sequence number of the sender, as an update may arrive by several paths.
         seq: u32,
@@ -100,8 +100,8 @@
 
 /// A fragment of changes of the list of upstreams.
 ///
-/// Changes are applied only once all fragments have been received, as a lost fragment must
-/// not be mistaken for an empty one.
+/// The receiver applies the entries of each fragment at once, but counts its list as complete up
+/// to `upto` only after all fragments, since a lost one may contain further changes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListUpdate {
     /// Revision after which the changes begin.
@@ -145,21 +145,21 @@
 /// Periodic report of a box on its view of the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Beacon {
-    /// Version of the active routing table, zero if there is none.
+    /// Number of the newest routing table that the box has received, zero if there is none.
     pub table: u64,
-    /// Revision up to which its list of upstreams is complete.
+    /// Revision up to which the box's list of upstreams is complete.
     pub list: Revision,
     /// Newest known epoch of the platform.
     pub epoch: u64,
-    /// Whether it detected a restore of the platform within the last seconds.
+    /// Whether the box detected a restore of the platform within the last 15 s.
     pub restored: bool,
-    /// Whether it is a reader, which watches the platform itself.
+    /// Whether the box is a reader, which watches the platform itself.
     pub reader: bool,
-    /// Time since the platform last answered it.
+    /// Time since the platform last answered the box.
     pub read_age: Duration,
-    /// Whether its calls fail; false for a new reader that has not made any.
+    /// Whether the box's calls to the platform fail; false for a new reader that has made none.
     pub unable: bool,
-    /// Time since its list was last known to be up to date.
+    /// Time since the box's list was last known to be up to date.
     pub list_age: Duration,
 }
 
--- a/crates/honeypulley_peer/src/server.rs
+++ b/crates/honeypulley_peer/src/server.rs
@@ -50,11 +50,11 @@
 ///
 /// The default implementations return empty values, which represent missing data.
 pub trait PeerView: Debug {
-    /// Returns the head of the active bundle as JSON, empty if no bundle is active.
+    /// Returns the head of the newest accepted bundle as JSON, empty if there is none.
     fn head(&self) -> Bytes {
         Bytes::new()
     }
-    /// Returns the manifest of the active bundle.
+    /// Returns the manifest of the newest accepted bundle.
     fn manifest(&self) -> Option<Manifest> {
         None
     }
@@ -74,7 +74,7 @@
     fn status(&self) -> Bytes {
         Bytes::new()
     }
-    /// Returns the platform's list as last received, as JSON; empty if it never was.
+    /// Returns the platform's roster as last received, as JSON; empty if it never was.
     fn roster(&self) -> Bytes {
         Bytes::new()
     }
--- a/crates/honeypulley_supervisor/src/tree.rs
+++ b/crates/honeypulley_supervisor/src/tree.rs
@@ -10,7 +10,7 @@
 
 /// Initial backoff before a failed duty is restarted; it doubles with each failure.
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
-/// Upper bound of that backoff.
+/// Upper bound of the restart backoff.
 const MAX_BACKOFF: Duration = Duration::from_secs(5);
 /// Run time after which a failed duty is restarted with the initial backoff.
 const BACKOFF_RESET: Duration = Duration::from_secs(30);
