--- a/crates/honeypulley_daemon/src/platform.rs
+++ b/crates/honeypulley_daemon/src/platform.rs
@@ -18,7 +18,7 @@
 const LIST_INTERVAL: Duration = Duration::from_secs(2);
 /// Maximum number of roster reads per second over all boxes.
 const MAX_LIST_RATE: f64 = 500.0;
-/// Time between two roster reads while it is empty, and between two relay checks.
+/// Time between two roster reads while the roster is empty, and between two relay checks.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
 /// Delay after a failed call, before jitter.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
--- a/crates/honeypulley_mesh/tests/boxes/departures.rs
+++ b/crates/honeypulley_mesh/tests/boxes/departures.rs
@@ -10,8 +10,8 @@
 //!   too.
 //! - A reader that found a departure by reading the full list did not broadcast it.
 //!
-//! Each case here disables one path. The departure must arrive by another one within the time
-//! that a bound of two seconds leaves for propagation and repair.
+//! Each case here disables one path. The departure must arrive by another path within
+//! `PROPAGATION_LIMIT`, the part of the two-second bound that is left for propagation and repair.
 
 use crate::support::{
     Connections, DatagramFilter, Relay, TestBox, at, drop_all, pass_all, table_object, unwrap_body,
@@ -117,7 +117,7 @@
     assert_eq!(other.wait_for_departures(&names(1), PROPAGATION_LIMIT), Vec::<String>::new());
 }
 
-/// Tables, like lists, were once pulled from the forwarder of their announcement.
+/// Guards against pulling a table from the forwarder of its announcement, which may lack the table.
 #[test]
 fn a_missed_table_is_pulled_from_a_box_that_has_it() {
     let reader = TestBox::start("a", "hall-a");
@@ -138,9 +138,9 @@
     assert_eq!(other.mesh.table_version(), 4);
 }
 
-/// Half of the boxes, including readers, had been isolated. One that reconnected broadcast
+/// Half of the boxes, including readers, had been isolated. A box that reconnected broadcast
 /// departures with the hold of 2.3 s that follows an outage of the platform. All boxes applied
-/// it and sent work to departed upstreams for 2.0 to 2.3 s, which exceeds the bound of 2 s.
+/// the hold and sent work to departed upstreams for 2.0 to 2.3 s, which exceeds the bound of 2 s.
 #[test]
 fn a_peer_cannot_impose_its_hold_on_a_connected_box() {
     let (sender, other) = (TestBox::start("a", "hall-a"), TestBox::start("b", "hall-a"));
--- a/crates/honeypulley_mesh/tests/boxes/join.rs
+++ b/crates/honeypulley_mesh/tests/boxes/join.rs
@@ -209,8 +209,8 @@
     assert_eq!(p.count("get"), 0, "{:?}", p.calls.lock());
 }
 
-/// A third of the boxes fails unnoticed, and those that they would forward the table to fetch it
-/// from the platform, within the smallest bound on the time until a table is in force.
+/// A third of the boxes fails unnoticed. The boxes that would pull the table from them fetch it
+/// from the platform instead, within the two seconds that the strictest deployment allows.
 #[test]
 fn a_table_arrives_although_forwarders_have_failed() {
     let p = Arc::new(RecordingPlatform::default());
--- a/crates/honeypulley_mesh/tests/boxes/model.rs
+++ b/crates/honeypulley_mesh/tests/boxes/model.rs
@@ -87,7 +87,7 @@
     mesh: Arc<Mesh>,
     platform: EpochTracker,
     addr: SocketAddr,
-    /// Positions of its watches of tables and of upstreams.
+    /// Positions of the box's watches of tables and of upstreams.
     cursors: [Option<Revision>; 2],
     /// State and start time of each upstream that the serving thread knows.
     serving: BTreeMap<String, (MemberState, Option<u64>)>,
@@ -193,7 +193,7 @@
         }
     }
 
-    /// Advances the clock, and expires entries and the writers' delay.
+    /// Advances the clock, expires entries, and rewrites lost writes once their delay has passed.
     fn advance(&mut self, ms: u64) {
         CLOCK.with(|c| c.set(c.get() + Duration::from_millis(ms)));
         self.since_restore = self.since_restore.map(|since| since + ms);
--- a/crates/honeypulley_mesh/tests/boxes/restore.rs
+++ b/crates/honeypulley_mesh/tests/boxes/restore.rs
@@ -110,7 +110,8 @@
     wait_until("the record is stored again", || r.is_stored("b/box1"));
 }
 
-/// Guards against comparing the holds with a copy of the stored ones from before the restore.
+/// Guards against comparing the holds with a copy of the stored holds from before the restore,
+/// which would leave the lost holds unwritten.
 #[test]
 fn holds_lost_in_a_restore_are_written_again() {
     let r = Reader::start();
--- a/crates/honeypulley_mesh/tests/boxes/support.rs
+++ b/crates/honeypulley_mesh/tests/boxes/support.rs
@@ -141,7 +141,7 @@
         Self::start_on(name, hall, Vec::new(), Arc::new(MemoryPlatform::default()))
     }
 
-    /// Starts such a box with seeds and a platform.
+    /// Starts a box that holds the same ten upstreams, with seeds and a platform.
     pub fn start_on(
         name: &str,
         hall: &str,
@@ -203,9 +203,9 @@
         )
     }
 
-    /// Waits until this box knows that all these upstreams have left.
+    /// Waits for at most `within` until this box knows that all these upstreams have left.
     ///
-    /// Returns those of which it doesn't know `within` that time.
+    /// Returns the upstreams that it still lists as live.
     pub fn wait_for_departures(&self, names: &[String], within: Duration) -> Vec<String> {
         let began = Instant::now();
         loop {
--- a/crates/honeypulley_mesh/tests/fleet.rs
+++ b/crates/honeypulley_mesh/tests/fleet.rs
@@ -136,7 +136,7 @@
         self.due.push(Reverse((us, self.sequence, who, event)));
     }
 
-    /// Sends one datagram, processed by its receiver within 20 ms of its arrival.
+    /// Sends one datagram, which its receiver processes 0.5 to 20.5 ms later unless it is lost.
     fn send(&mut self, to: usize, event: Event) {
         self.datagrams += 1;
         if self.rng.f64() < self.loss {
@@ -210,7 +210,7 @@
         self.schedule(self.now_us + wait.max(5_000), who, Event::Wake);
     }
 
-    /// Pulls the full list over a connection; a lost packet delays it beyond use.
+    /// Pulls the full list over a connection; a lost packet delays the pull too long to be useful.
     fn pull(&mut self, who: usize, from: usize) {
         if self.rng.f64() < (1.0 - self.loss).powi(PULL_PACKETS) {
             let us = self.now_us + 1_000 * self.rng.u64(PULL_MS.0..PULL_MS.1);
@@ -317,7 +317,7 @@
     run_seeds(seeds, limit_ms, |seed| Fleet::new(n, halls, loss, seed));
 }
 
-/// The target is two seconds, the smallest bound on a table or a departure.
+/// In the strictest deployment, a table or a departure must reach every box within two seconds.
 #[rstest]
 #[case::small(34, 3, 0.0, 10)]
 #[case::small_and_lossy(34, 3, 0.03, 10)]
--- a/crates/honeypulley_mesh/tests/pace.rs
+++ b/crates/honeypulley_mesh/tests/pace.rs
@@ -1,4 +1,4 @@
-//! News of finished attempts is delayed to be batched with other news, for a bounded time.
+//! Updates about finished attempts are delayed for a bounded time, to be batched with others.
 
 use honeypulley_mesh::pace::UpdateBatcher;
 use honeypulley_policy::balance::Update;
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 const UPSTREAM: NameId = NameId(7);
-/// Number of other boxes in a hall of the largest deployment.
+/// Number of other boxes in a data hall of the largest deployment.
 const LARGE: usize = 60;
 
 fn ended(ago: u64) -> Update {
@@ -32,7 +32,8 @@
     assert_eq!(batcher.deadline(LARGE), None);
 }
 
-/// In a small hall an end is sent nearly at once, and in any hall after a bounded delay.
+/// The update about a finished attempt is sent nearly at once in a small data hall, and after a
+/// bounded delay in any data hall.
 #[rstest]
 #[case::small(11, 30)]
 #[case::large(LARGE, 150)]
@@ -44,7 +45,8 @@
     assert!(due <= Time::from_millis(100 + max_ms), "{due:?}");
 }
 
-/// Guards against two datagrams for each request, at 4 and 40 requests a second in a hall of 61.
+/// Guards against two datagrams for each request, at 4 and 40 requests a second in a data hall of
+/// 61 boxes.
 #[rstest]
 #[case::few_requests(4, 6)]
 #[case::many_requests(40, 40)]
