--- a/crates/honeypulley_mesh/src/doubts.rs
+++ b/crates/honeypulley_mesh/src/doubts.rs
@@ -29,7 +29,7 @@
 }
 
 impl SuspicionLog {
-    /// Logs a doubt raised by a peer's report, within the rate limit.
+    /// Logs a suspicion raised by a peer's report, within the rate limit.
     ///
     /// Returns whether a line was written.
     pub fn log(&mut self, from: NameId, d: &Suspicion, now: Time) -> bool {
@@ -39,7 +39,7 @@
         }
         let left_out = std::mem::take(&mut self.left_out);
         log::info!(
-            upstream = d.upstream.as_str(), what:debug = d.what, from = from.0,
+            upstream = d.upstream.as_str(), what:debug = d.observation, from = from.0,
             before = round_probability(d.before), sick = round_probability(d.after), left_out;
             "news: {} is in doubt", d.upstream
         );
--- a/crates/honeypulley_mesh/src/list.rs
+++ b/crates/honeypulley_mesh/src/list.rs
@@ -171,9 +171,11 @@
                 (State::Missing { listed: l.clone(), due: now + hold }, None)
             }
             // The serving thread has already received the departure.
-            State::Relisted { listed, .. } => (State::Gone { since: now, born: listed.born }, None),
+            State::Relisted { listed, .. } => {
+                (State::Gone { since: now, born: listed.started }, None)
+            }
             State::Present(l) | State::Missing { listed: l, .. } => {
-                (State::Gone { since: now, born: l.born }, Some(ListChange::Gone(name)))
+                (State::Gone { since: now, born: l.started }, Some(ListChange::Gone(name)))
             }
         };
         self.state = next;
@@ -185,7 +187,7 @@
         let (next, change) = match &self.state {
             State::Missing { listed, due } if *due <= now => {
                 let change = ListChange::Gone(name.to_owned());
-                (State::Gone { since: now, born: listed.born }, change)
+                (State::Gone { since: now, born: listed.started }, change)
             }
             State::Relisted { listed, due } if *due <= now => {
                 (State::Present(listed.clone()), ListChange::Set(listed.clone()))
@@ -211,8 +213,8 @@
 ///
 /// A later start supersedes an earlier one, and no incarnation reverts its shutdown.
 fn latest(known: &UpstreamEntry, shown: UpstreamEntry) -> UpstreamEntry {
-    let is_earlier = matches!((shown.born, known.born), (Some(s), Some(k)) if s < k);
-    let is_same = shown.born == known.born && shown.member.addr == known.member.addr;
+    let is_earlier = matches!((shown.started, known.started), (Some(s), Some(k)) if s < k);
+    let is_same = shown.started == known.started && shown.member.addr == known.member.addr;
     let reverts =
         known.member.state == MemberState::Leaving && shown.member.state == MemberState::Live;
     if is_earlier || (is_same && reverts) { known.clone() } else { shown }
@@ -220,7 +222,7 @@
 
 /// Returns whether an upstream started after its departed incarnation.
 fn started_after(shown: &UpstreamEntry, left: Option<u64>) -> bool {
-    matches!((shown.born, left), (Some(s), Some(l)) if s > l)
+    matches!((shown.started, left), (Some(s), Some(l)) if s > l)
 }
 
 /// Replica of the list of upstreams.
--- a/crates/honeypulley_mesh/src/pace.rs
+++ b/crates/honeypulley_mesh/src/pace.rs
@@ -51,6 +51,6 @@
     /// Removes one datagram's worth of news, oldest first, and sets the age of each end.
     pub fn drain(&mut self, now: Time) -> Vec<Update> {
         let count = self.pending.len().min(MAX_ITEMS);
-        self.pending.drain(..count).map(|p| p.news.aged(now.since(p.at))).collect()
+        self.pending.drain(..count).map(|p| p.news.with_age(now.since(p.at))).collect()
     }
 }
--- a/crates/honeypulley_mesh/src/serving.rs
+++ b/crates/honeypulley_mesh/src/serving.rs
@@ -219,7 +219,7 @@
             return Err(not_ready(format!("service {name} is not set up on this box yet")));
         };
         self.mesh.update_fleet_scope(policy.balancer(), now);
-        policy.balancer().arrived(service, now);
+        policy.balancer().record_request(service, now);
         if let Some(o) = &organisation
             && let Err(wait) = policy.admit(o.id, now)
         {
@@ -351,7 +351,7 @@
                     let now = self.mesh.now();
                     let mut policy = self.policy.lock();
                     let mut replies = policy.balancer().retry_sums(now);
-                    replies.extend(policy.balancer().beliefs(now));
+                    replies.extend(policy.balancer().belief_snapshot(now));
                     drop(policy);
                     self.mesh.belief_replies.push((requester, replies));
                 }
@@ -376,8 +376,8 @@
             {
                 log::info!(upstream, from = from.0; "news: {upstream} announced its shutdown");
             }
-            if let Some(doubt) = policy.balancer().heard(from, news, now) {
-                self.doubts.lock().log(from, &doubt, now);
+            if let Some(suspicion) = policy.balancer().apply_update(from, news, now) {
+                self.doubts.lock().log(from, &suspicion, now);
             }
             next = self.mesh.updates_in.pop();
         }
--- a/crates/honeypulley_mesh/tests/boxes/model.rs
+++ b/crates/honeypulley_mesh/tests/boxes/model.rs
@@ -349,7 +349,7 @@
                         b.serving.remove(&name);
                     }
                     ListChange::Set(l) => {
-                        let shown = (l.member.state, l.born);
+                        let shown = (l.member.state, l.started);
                         let before = b.serving.insert(l.member.name, shown);
                         let reverts = before.is_some_and(|(state, born)| {
                             state == MemberState::Leaving && shown == (MemberState::Live, born)
--- a/crates/honeypulley_mesh/tests/boxes/support.rs
+++ b/crates/honeypulley_mesh/tests/boxes/support.rs
@@ -64,7 +64,7 @@
             hall: "hall-a".to_owned(),
             state,
         };
-        Ok(UpstreamEntry { member, slots: 3, cold: Duration::ZERO, born: born.parse().ok() })
+        Ok(UpstreamEntry { member, slots: 3, warm_up: Duration::ZERO, started: born.parse().ok() })
     }
 }
 
--- a/crates/honeypulley_mesh/tests/list.rs
+++ b/crates/honeypulley_mesh/tests/list.rs
@@ -24,7 +24,7 @@
         hall: "h".to_owned(),
         state,
     };
-    UpstreamEntry { member, slots: 3, cold: Duration::ZERO, born: None }
+    UpstreamEntry { member, slots: 3, warm_up: Duration::ZERO, started: None }
 }
 
 fn live(name: &str, version: u64) -> Entry {
--- a/crates/honeypulley_mesh/tests/pace.rs
+++ b/crates/honeypulley_mesh/tests/pace.rs
@@ -13,7 +13,7 @@
 
 fn ended(ago: u64) -> Update {
     let ago = Duration::from_millis(ago);
-    Update::Ended { upstream: UPSTREAM, count: 0, served: true, far: None, ago }
+    Update::Ended { upstream: UPSTREAM, count: 0, served: true, remote: None, age: ago }
 }
 
 fn open() -> Update {
--- a/crates/honeypulley_mesh/tests/restored_list.rs
+++ b/crates/honeypulley_mesh/tests/restored_list.rs
@@ -27,7 +27,7 @@
         hall: "h".to_owned(),
         state,
     };
-    UpstreamEntry { member, slots: 3, cold: Duration::ZERO, born: Some(born) }
+    UpstreamEntry { member, slots: 3, warm_up: Duration::ZERO, started: Some(born) }
 }
 
 fn entry(name: &str, version: Revision, state: MemberState, born: u64) -> Entry {
--- a/crates/honeypulley_peer/src/listing.rs
+++ b/crates/honeypulley_peer/src/listing.rs
@@ -69,8 +69,8 @@
                 row.set_hall(l.member.hall.as_str());
                 row.set_leaving(l.member.state == MemberState::Leaving);
                 row.set_slots(u16::try_from(l.slots).unwrap_or(u16::MAX));
-                row.set_cold_ms(l.cold.as_millis() as u32);
-                row.set_born(l.born.unwrap_or(0));
+                row.set_cold_ms(l.warm_up.as_millis() as u32);
+                row.set_born(l.started.unwrap_or(0));
             }
         }
     }
@@ -96,8 +96,8 @@
                 state: if r.get_leaving() { MemberState::Leaving } else { MemberState::Live },
             },
             slots: r.get_slots().into(),
-            cold: Duration::from_millis(r.get_cold_ms().into()),
-            born: Some(r.get_born()).filter(|&ms| ms > 0),
+            warm_up: Duration::from_millis(r.get_cold_ms().into()),
+            started: Some(r.get_born()).filter(|&ms| ms > 0),
         })
     };
     Ok(Entry { name, version: Revision::new(r.get_epoch(), r.get_version()), state })
@@ -137,21 +137,21 @@
     for (i, update) in updates.iter().enumerate() {
         let mut row = list.reborrow().get(i as u32);
         let (subject, kind, count) = match *update {
-            Update::Seen { upstream, what } => (upstream, observation_kind(what), 0),
+            Update::Seen { upstream, observation: what } => (upstream, observation_kind(what), 0),
             Update::Open { upstream, count } => (upstream, wire::NewsKind::Open, count),
-            Update::Ended { upstream, count, served, far, ago } => {
+            Update::Ended { upstream, count, served, remote: far, age: ago } => {
                 row.set_served(served);
                 row.set_far(far.map_or(0, |n| n.saturating_add(1)));
                 row.set_ago_ms(u16::try_from(ago.as_millis()).unwrap_or(u16::MAX));
                 (upstream, wire::NewsKind::Ended, count)
             }
-            Update::Well { upstream } => (upstream, wire::NewsKind::Well, 0),
-            Update::Retry { service, seen, spent } => {
+            Update::Recovered { upstream } => (upstream, wire::NewsKind::Well, 0),
+            Update::Retry { service, requests: seen, retries: spent } => {
                 row.set_far(spent);
                 (service, wire::NewsKind::Retry, seen)
             }
-            Update::Spent { service, sum } => (service, wire::NewsKind::Spent, sum),
-            Update::Denied { service, seen, spent } => {
+            Update::RetrySum { service, sum } => (service, wire::NewsKind::Spent, sum),
+            Update::Denied { service, requests: seen, retries: spent } => {
                 row.set_far(spent);
                 (service, wire::NewsKind::Denied, seen)
             }
@@ -182,7 +182,7 @@
 ) -> Result<Vec<Update>, capnp::Error> {
     let read = |r: wire::news_item::Reader<'_>| {
         let id = NameId(r.get_subject());
-        let observed = |what| Update::Seen { upstream: id, what };
+        let observed = |what| Update::Seen { upstream: id, observation: what };
         Ok(match r.get_kind()? {
             wire::NewsKind::Success => observed(Observation::Success),
             wire::NewsKind::Failure => observed(Observation::Failure),
@@ -197,16 +197,16 @@
                 upstream: id,
                 count: r.get_count(),
                 served: r.get_served(),
-                far: r.get_far().checked_sub(1),
-                ago: Duration::from_millis(r.get_ago_ms().into()),
+                remote: r.get_far().checked_sub(1),
+                age: Duration::from_millis(r.get_ago_ms().into()),
             },
-            wire::NewsKind::Well => Update::Well { upstream: id },
+            wire::NewsKind::Well => Update::Recovered { upstream: id },
             wire::NewsKind::Retry => {
-                Update::Retry { service: id, seen: r.get_count(), spent: r.get_far() }
+                Update::Retry { service: id, requests: r.get_count(), retries: r.get_far() }
             }
-            wire::NewsKind::Spent => Update::Spent { service: id, sum: r.get_count() },
+            wire::NewsKind::Spent => Update::RetrySum { service: id, sum: r.get_count() },
             wire::NewsKind::Denied => {
-                Update::Denied { service: id, seen: r.get_count(), spent: r.get_far() }
+                Update::Denied { service: id, requests: r.get_count(), retries: r.get_far() }
             }
             wire::NewsKind::Belief => {
                 Update::Belief { upstream: id, phases: r.get_count().to_be_bytes().map(dequantize) }
--- a/crates/honeypulley_peer/tests/wire.rs
+++ b/crates/honeypulley_peer/tests/wire.rs
@@ -74,18 +74,18 @@
         |(id, what, a, b, kind)| {
             let upstream = NameId(id);
             match kind {
-                0 => Update::Seen { upstream, what },
+                0 => Update::Seen { upstream, observation: what },
                 1 => Update::Open { upstream, count: id as u16 },
                 7 => Update::Ended {
                     upstream,
                     count: id as u16,
                     served: id % 2 == 0,
-                    far: (id % 3 > 0).then_some(id as u8 / 2),
-                    ago: Duration::from_millis(id % 60_000),
+                    remote: (id % 3 > 0).then_some(id as u8 / 2),
+                    age: Duration::from_millis(id % 60_000),
                 },
-                2 => Update::Well { upstream },
+                2 => Update::Recovered { upstream },
                 3 => Update::Belief { upstream, phases: [a, b] },
-                4 => Update::Spent { service: upstream, sum: id as u16 },
+                4 => Update::RetrySum { service: upstream, sum: id as u16 },
                 10 => {
                     let rate = (id % 5 > 0).then_some(id as u16 as f32 / 8.0 + 0.125);
                     Update::Limit { upstream, rate }
@@ -102,8 +102,8 @@
                     Update::HallAdmitted { subject: upstream, count }
                 }
                 11 => Update::Leaving { upstream },
-                5 => Update::Denied { service: upstream, seen: id as u16, spent: id as u8 },
-                _ => Update::Retry { service: upstream, seen: id as u16, spent: id as u8 },
+                5 => Update::Denied { service: upstream, requests: id as u16, retries: id as u8 },
+                _ => Update::Retry { service: upstream, requests: id as u16, retries: id as u8 },
             }
         },
     );
--- a/crates/honeypulley_policy/benches/pick.rs
+++ b/crates/honeypulley_policy/benches/pick.rs
@@ -30,7 +30,7 @@
             state: MemberState::Live,
         };
         b.set_upstream(
-            UpstreamEntry { member, slots: 3, cold: Duration::ZERO, born: None },
+            UpstreamEntry { member, slots: 3, warm_up: Duration::ZERO, started: None },
             Time::ZERO,
         );
     }
@@ -42,7 +42,7 @@
     for peer in 0..PEERS {
         let upstream = NameId::of(&format!("u{}", peer % UPSTREAMS));
         let open = Update::Open { upstream, count: 1 };
-        b.heard(NameId::of(&format!("peer{peer}")), open, now);
+        b.apply_update(NameId::of(&format!("peer{peer}")), open, now);
     }
 }
 
@@ -50,7 +50,7 @@
 fn set_limits(b: &mut Balancer, upstreams: usize, now: Time) {
     for i in 0..upstreams {
         let news = Update::Limit { upstream: NameId::of(&format!("u{i}")), rate: Some(9e5) };
-        b.heard(NameId::of("peer0"), news, now);
+        b.apply_update(NameId::of("peer0"), news, now);
     }
 }
 
--- a/crates/honeypulley_policy/src/balance.rs
+++ b/crates/honeypulley_policy/src/balance.rs
@@ -64,9 +64,9 @@
     /// Requests that it processes concurrently.
     pub slots: usize,
     /// Remaining time for which it is slow after its start.
-    pub cold: Duration,
+    pub warm_up: Duration,
     /// Start time of its process in milliseconds since 1970, if reported.
-    pub born: Option<u64>,
+    pub started: Option<u64>,
 }
 
 impl UpstreamEntry {
@@ -77,9 +77,10 @@
     /// Start times are only compared for equality, so a clock that was set back also gives a
     /// new incarnation.
     #[must_use]
-    pub fn life(&self) -> NameId {
+    pub fn incarnation(&self) -> NameId {
         let name = &self.member.name;
-        self.born.map_or_else(|| NameId::of(name), |born| NameId::of(&format!("{name} {born}")))
+        self.started
+            .map_or_else(|| NameId::of(name), |started| NameId::of(&format!("{name} {started}")))
     }
 }
 
@@ -124,7 +125,7 @@
     /// What it declared about itself in its answers.
     declared: Declared,
     slots: f64,
-    cold_until: Time,
+    warm_up_until: Time,
     /// Attempts of this box in flight.
     in_flight: Vec<AttemptKey>,
     peers: Vec<PeerInFlight>,
@@ -217,7 +218,7 @@
 pub struct Balancer {
     hall: String,
     hall_id: NameId,
-    reach: FleetScope,
+    fleet_scope: FleetScope,
     /// Number of boxes in this data hall, including this one.
     hall_boxes: usize,
     /// Number of boxes in each data hall.
@@ -225,7 +226,7 @@
     /// Whether this box is isolated from its peers.
     isolated: bool,
     retry_rule: RetryRule,
-    past: RetryHistory,
+    history: RetryHistory,
     services: SlotMap<ServiceKey, Service>,
     by_name: BTreeMap<String, ServiceKey>,
     services_by_id: BTreeMap<NameId, ServiceKey>,
@@ -247,7 +248,7 @@
     listed: BTreeMap<String, UpstreamEntry>,
     /// Latest ended incarnations of upstreams that have restarted.
     restarted: VecDeque<UpstreamKey>,
-    news: Vec<Update>,
+    updates: Vec<Update>,
     rng: fastrand::Rng,
     /// Seed that makes the random draws of this box differ from those of others.
     seed: u64,
@@ -260,13 +261,13 @@
         Self {
             hall: hall.to_owned(),
             hall_id: NameId::of(hall),
-            reach: FleetScope { boxes: 1, in_touch: true },
+            fleet_scope: FleetScope { boxes: 1, in_touch: true },
             hall_boxes: 1,
             halls: BTreeMap::from([(NameId::of(hall), 1)]),
             isolated: false,
             limits: RateLimits::new(hall, RetryHistory::Unknown, seed),
             retry_rule,
-            past: RetryHistory::Unknown,
+            history: RetryHistory::Unknown,
             services: SlotMap::with_key(),
             by_name: BTreeMap::new(),
             services_by_id: BTreeMap::new(),
@@ -281,7 +282,7 @@
             contradicted: BTreeMap::new(),
             listed: BTreeMap::new(),
             restarted: VecDeque::new(),
-            news: Vec::new(),
+            updates: Vec::new(),
             rng: fastrand::Rng::with_seed(seed),
             seed,
         }
@@ -289,9 +290,9 @@
 
     /// Sets what is known of retries before this box started.
     #[must_use]
-    pub fn with_retry_history(mut self, past: RetryHistory) -> Self {
-        self.past = past;
-        self.limits = RateLimits::new(&self.hall, past, self.seed);
+    pub fn with_retry_history(mut self, history: RetryHistory) -> Self {
+        self.history = history;
+        self.limits = RateLimits::new(&self.hall, history, self.seed);
         self
     }
 
@@ -305,11 +306,11 @@
     /// Sets the boxes that share the retry budget.
     ///
     /// They count as boxes of this data hall unless [`Self::set_halls`] says otherwise.
-    pub fn set_fleet_scope(&mut self, reach: FleetScope) {
-        self.reach = reach;
+    pub fn set_fleet_scope(&mut self, fleet_scope: FleetScope) {
+        self.fleet_scope = fleet_scope;
         if self.halls.len() < 2 {
-            self.hall_boxes = reach.boxes;
-            self.halls.insert(self.hall_id, reach.boxes);
+            self.hall_boxes = fleet_scope.boxes;
+            self.halls.insert(self.hall_id, fleet_scope.boxes);
         }
     }
 
@@ -328,14 +329,14 @@
     pub fn set_services(&mut self, specs: &[ServiceSpec], now: Time) {
         let mut removed: BTreeSet<String> = self.by_name.keys().cloned().collect();
         // A service that is added later had no requests before this box learned of it.
-        let past = if self.by_name.is_empty() { self.past } else { RetryHistory::Empty };
+        let history = if self.by_name.is_empty() { self.history } else { RetryHistory::Empty };
         for spec in specs {
             removed.remove(&spec.name);
             if let Some(&k) = self.by_name.get(&spec.name) {
                 self.services[k].spec = spec.clone();
                 continue;
             }
-            let k = self.services.insert(Service::new(spec.clone(), past, now));
+            let k = self.services.insert(Service::new(spec.clone(), history, now));
             self.by_name.insert(spec.name.clone(), k);
             self.services_by_id.insert(NameId::of(&spec.name), k);
             let waiting: Vec<UpstreamEntry> =
@@ -357,7 +358,11 @@
     /// Adds or updates a list entry.
     pub fn set_upstream(&mut self, l: UpstreamEntry, now: Time) {
         let name = l.member.name.clone();
-        let previous = self.listed.get(&name).map(UpstreamEntry::life).filter(|&id| id != l.life());
+        let previous = self
+            .listed
+            .get(&name)
+            .map(UpstreamEntry::incarnation)
+            .filter(|&id| id != l.incarnation());
         if let Some(k) = previous.and_then(|id| self.by_id.get(&id).copied()) {
             self.end_incarnation(k);
         }
@@ -370,7 +375,7 @@
     /// Removes a list entry, so that its upstream gets no new requests.
     pub fn remove_upstream(&mut self, name: &str) {
         let Some(l) = self.listed.remove(name) else { return };
-        let Some(k) = self.by_id.get(&l.life()).copied() else { return };
+        let Some(k) = self.by_id.get(&l.incarnation()).copied() else { return };
         self.detach(k);
         self.discard(k);
     }
@@ -397,7 +402,7 @@
     }
 
     fn add_upstream(&mut self, service: ServiceKey, l: &UpstreamEntry, now: Time) {
-        let id = l.life();
+        let id = l.incarnation();
         let leaving = l.member.state == MemberState::Leaving;
         if let Some(u) = self.by_id.get(&id).and_then(|&k| self.upstreams.get_mut(k)) {
             u.leaving = leaving;
@@ -416,12 +421,12 @@
             misdirected: false,
             declared: self.unlisted.take(id),
             slots: l.slots.max(1) as f64,
-            cold_until: now + l.cold,
+            warm_up_until: now + l.warm_up,
             in_flight: Vec::new(),
             peers: Vec::new(),
             remote: None,
             shared: Belief::new(now),
-            path: Belief::sound(now),
+            path: Belief::for_path(now),
             observed: false,
             connect_failures: Vec::new(),
             recovery_announced: true,
@@ -450,7 +455,7 @@
     }
 
     /// Counts an incoming request, which adds to its service's retry budget.
-    pub fn arrived(&mut self, k: ServiceKey, now: Time) {
+    pub fn record_request(&mut self, k: ServiceKey, now: Time) {
         if let Some(s) = self.services.get_mut(k) {
             s.retries.record_request(&self.retry_rule, now);
         }
@@ -458,7 +463,7 @@
 
     /// Drains the announcements to broadcast.
     pub fn take_updates(&mut self) -> Vec<Update> {
-        std::mem::take(&mut self.news)
+        std::mem::take(&mut self.updates)
     }
 
     /// Returns the state of every upstream for operators.
@@ -468,8 +473,8 @@
             service: self.services.get(u.service).map_or_else(String::new, |s| s.spec.name.clone()),
             upstream: u.name.clone(),
             leaving: u.is_leaving(),
-            sick: u.shared.chance(now),
-            path: u.path.chance(now),
+            sick: u.shared.probability(now),
+            path: u.path.probability(now),
             open: u.in_flight.len(),
             limit: self.advertised_limit(k, now),
             backoff: u.backoff_left(now),
@@ -485,11 +490,11 @@
 }
 
 impl Service {
-    fn new(spec: ServiceSpec, past: RetryHistory, added: Time) -> Self {
+    fn new(spec: ServiceSpec, history: RetryHistory, added: Time) -> Self {
         Self {
             id: NameId::of(&spec.name),
             latencies: LatencyHistogram::default(),
-            retries: RetryWindow::new(past, added),
+            retries: RetryWindow::new(history, added),
             failures: FailureWindow::default(),
             queueing: QueueAverage::default(),
             added,
--- a/crates/honeypulley_policy/src/balance/choice.rs
+++ b/crates/honeypulley_policy/src/balance/choice.rs
@@ -109,7 +109,7 @@
     fn inputs(&self, k: UpstreamKey, now: Time) -> PickInputs {
         self.upstreams.get(k).map_or_else(PickInputs::default, |u| PickInputs {
             sick: self.unhealthy_chance(k, now),
-            path: u.path.chance(now),
+            path: u.path.probability(now),
             busy: u.busy(now),
             near: u.local,
             load_age: u.remote.map(|r| now.since(r.at)),
@@ -218,7 +218,7 @@
             loss += CROSS_HALL_LOSS
                 + self.sizes.expected(ask.route, ask.large_response) * self.byte_cost;
         }
-        if now < u.cold_until {
+        if now < u.warm_up_until {
             loss += WARMUP_LOSS;
         }
         loss
--- a/crates/honeypulley_policy/src/balance/doubt.rs
+++ b/crates/honeypulley_policy/src/balance/doubt.rs
@@ -38,16 +38,16 @@
 impl Balancer {
     /// Returns the probability that an upstream or the path to it is faulty.
     pub(super) fn fault_chance(&self, k: UpstreamKey, now: Time) -> f64 {
-        let path = self.upstreams[k].path.chance(now);
+        let path = self.upstreams[k].path.probability(now);
         1.0 - (1.0 - self.unhealthy_chance(k, now)) * (1.0 - path)
     }
 
     /// Returns the probability that an upstream is unhealthy, including evidence in flight.
     pub(super) fn unhealthy_chance(&self, k: UpstreamKey, now: Time) -> f64 {
         let u = &self.upstreams[k];
-        let chance = u.shared.chance(now);
+        let probability = u.shared.probability(now);
         let ratio = self.in_flight_ratio(u, now);
-        chance * ratio / (chance * ratio + 1.0 - chance)
+        probability * ratio / (probability * ratio + 1.0 - probability)
     }
 
     /// Returns whether an attempt has been in flight there for unusually long.
@@ -108,7 +108,7 @@
         let thresholds = [(OVERDUE_RATIO, Observation::Overdue), (HUNG_RATIO, Observation::Hung)];
         let due =
             |&&(threshold, _): &&(f64, Observation)| a.announced < threshold && ratio >= threshold;
-        thresholds.iter().filter(due).map(|&(_, what)| what).collect()
+        thresholds.iter().filter(due).map(|&(_, observation)| observation).collect()
     }
 
     /// Returns whether an unanswered attempt is older than nearly all answers.
@@ -149,10 +149,10 @@
         now: Time,
     ) -> Option<f64> {
         let a = self.attempts.get(k).filter(|a| self.upstreams.contains_key(a.upstream))?;
-        let chance = self.fault_chance(a.upstream, now) * FAILS_SICK;
+        let probability = self.fault_chance(a.upstream, now) * FAILS_SICK;
         // The hedging delay may have changed slightly since this check was scheduled.
         let due = now.since(a.started) + MIN_CHECK_INTERVAL >= self.hedge_delay(ask);
-        due.then_some(chance)
+        due.then_some(probability)
     }
 
     /// Returns a quantile of the latency to expect for a request.
--- a/crates/honeypulley_policy/src/balance/floor.rs
+++ b/crates/honeypulley_policy/src/balance/floor.rs
@@ -49,7 +49,7 @@
                 return false;
             }
             // Probability that the floor includes this upstream.
-            let healthy = 1.0 - u.shared.chance(now.before(HEALTHY_AFTER));
+            let healthy = 1.0 - u.shared.probability(now.before(HEALTHY_AFTER));
             total += healthy;
             if u.last_sent.is_some_and(|at| now.since(at) < IDLE_AFTER) {
                 active += healthy;
--- a/crates/honeypulley_policy/src/balance/heard.rs
+++ b/crates/honeypulley_policy/src/balance/heard.rs
@@ -24,7 +24,7 @@
     /// Name of the upstream.
     pub upstream: String,
     /// The announced observation.
-    pub what: Observation,
+    pub observation: Observation,
     /// Probability of being unhealthy before it.
     pub before: f64,
     /// Probability of being unhealthy after it.
@@ -33,45 +33,55 @@
 
 impl Balancer {
     /// Applies a peer's announcement; returns a suspicion that it raised.
-    pub fn heard(&mut self, from: NameId, news: Update, now: Time) -> Option<Suspicion> {
-        match news {
-            Update::Seen { upstream, what } => return self.apply_seen(from, upstream, what, now),
+    pub fn apply_update(&mut self, from: NameId, update: Update, now: Time) -> Option<Suspicion> {
+        match update {
+            Update::Seen { upstream, observation } => {
+                return self.apply_seen(from, upstream, observation, now);
+            }
             Update::Open { upstream, count } => {
                 self.apply_open(from, upstream, count, now);
             }
-            Update::Ended { upstream, count, served, far, ago } => {
-                let at = now.before(ago);
+            Update::Ended { upstream, count, served, remote, age } => {
+                let at = now.before(age);
                 self.apply_ended(from, upstream, count, served, at);
-                if let (Some(far), Some(u)) = (far, self.upstream_by_id(upstream)) {
-                    u.remote = Some(RemoteLoad { count: f64::from(far), at });
+                if let (Some(count), Some(u)) = (remote, self.upstream_by_id(upstream)) {
+                    u.remote = Some(RemoteLoad { count: f64::from(count), at });
                 }
             }
-            Update::Well { upstream } => {
+            Update::Recovered { upstream } => {
                 let u = self.upstream_by_id(upstream)?;
                 u.recovery_announced = true;
                 // This data hall judges its own upstreams by its own attempts.
                 if !u.local {
-                    u.shared.calm(now);
+                    u.shared.cap_unhealthy(now);
                 }
             }
             Update::Belief { upstream, phases } => {
                 let u = self.upstream_by_id(upstream)?;
                 if !u.observed {
                     u.observed = true;
-                    u.shared = Belief::told(phases, now);
+                    u.shared = Belief::from_peer(phases, now);
                 }
             }
-            Update::Spent { service, sum } => {
+            Update::RetrySum { service, sum } => {
                 let rule = self.retry_rule;
                 if let Some(s) = self.service_by_id(service) {
                     s.retries.inherit(&rule, sum, now);
                 }
             }
-            Update::Retry { service, seen, spent } => {
-                self.apply_retries(service, RetryReport { from, seen, spent, retried: true }, now);
+            Update::Retry { service, requests, retries } => {
+                self.apply_retries(
+                    service,
+                    RetryReport { from, requests, retries, retried: true },
+                    now,
+                );
             }
-            Update::Denied { service, seen, spent } => {
-                self.apply_retries(service, RetryReport { from, seen, spent, retried: false }, now);
+            Update::Denied { service, requests, retries } => {
+                self.apply_retries(
+                    service,
+                    RetryReport { from, requests, retries, retried: false },
+                    now,
+                );
             }
             Update::Limit { upstream, rate } => self.apply_limit(upstream, rate, now),
             Update::Leaving { upstream } => {
@@ -159,36 +169,41 @@
         &mut self,
         from: NameId,
         upstream: NameId,
-        what: Observation,
+        observation: Observation,
         now: Time,
     ) -> Option<Suspicion> {
         let service = self.upstream_by_id(upstream)?.service;
-        self.count_failure(service, what, now);
+        self.count_failure(service, observation, now);
         let shed_share = self.services.get(service).map_or(0.0, |s| s.failures.shed_share());
         let contradicted = self.contradicted.get(&from);
         let is_contradicted = contradicted.is_some_and(|&at| now.since(at) < CONTRADICTED_TIME);
         let u = self.upstream_by_id(upstream)?;
         if let Some(p) = u.peer_entry(from) {
-            p.announced = raise_announced(p.announced, what);
+            p.announced = raise_announced(p.announced, observation);
         }
-        let before = u.shared.chance(now);
-        if what == Observation::Unreachable {
+        let before = u.shared.probability(now);
+        if observation == Observation::Unreachable {
             u.reset_last_sent();
         }
-        if what != Observation::Unreachable || (!is_contradicted && u.is_corroborated(from, now)) {
-            u.observe(what, shed_share, now);
+        if observation != Observation::Unreachable
+            || (!is_contradicted && u.is_corroborated(from, now))
+        {
+            u.observe(observation, shed_share, now);
         }
-        let after = u.shared.chance(now);
+        let after = u.shared.probability(now);
         let became_suspect = before < SUSPECT_CHANCE && after >= SUSPECT_CHANCE;
-        became_suspect.then(|| Suspicion { upstream: u.name.clone(), what, before, after })
+        became_suspect.then(|| Suspicion { upstream: u.name.clone(), observation, before, after })
     }
 
     /// Returns the beliefs, rate limits and announced shutdowns for a newly started box.
     ///
     /// Upstreams without any observation are left out.
     #[must_use]
-    pub fn beliefs(&self, now: Time) -> Vec<Update> {
-        let belief = |u: &Upstream| Update::Belief { upstream: u.id, phases: u.shared.phases(now) };
+    pub fn belief_snapshot(&self, now: Time) -> Vec<Update> {
+        let belief = |u: &Upstream| Update::Belief {
+            upstream: u.id,
+            phases: u.shared.phase_probabilities(now),
+        };
         let observed = self.upstreams.values().filter(|u| u.observed);
         observed
             .map(belief)
@@ -205,7 +220,7 @@
         let rule = self.retry_rule;
         let sum = |s: &mut Service| {
             let sum = s.retries.sum(&rule, now)?;
-            Some(Update::Spent { service: s.id, sum })
+            Some(Update::RetrySum { service: s.id, sum })
         };
         self.services.values_mut().filter_map(sum).collect()
     }
--- a/crates/honeypulley_policy/src/balance/illness.rs
+++ b/crates/honeypulley_policy/src/balance/illness.rs
@@ -38,8 +38,8 @@
 
 impl FailureModes {
     /// Counts a failure met by any box.
-    pub fn record(&mut self, what: Observation) {
-        match what {
+    pub fn record(&mut self, observation: Observation) {
+        match observation {
             Observation::Hung => self.hung += 1.0,
             Observation::Failure => self.immediate += 1.0,
             _ => return,
--- a/crates/honeypulley_policy/src/balance/learn.rs
+++ b/crates/honeypulley_policy/src/balance/learn.rs
@@ -36,14 +36,19 @@
 
 impl Balancer {
     /// Counts a failure of a service that any box met.
-    pub(super) fn count_failure(&mut self, service: ServiceKey, what: Observation, now: Time) {
-        self.failure_modes.record(what);
-        let halls = self.reach.boxes as f64 / self.hall_boxes.max(1) as f64;
+    pub(super) fn count_failure(
+        &mut self,
+        service: ServiceKey,
+        observation: Observation,
+        now: Time,
+    ) {
+        self.failure_modes.record(observation);
+        let halls = self.fleet_scope.boxes as f64 / self.hall_boxes.max(1) as f64;
         let Some(s) = self.services.get_mut(service) else { return };
-        if what.is_failure() {
+        if observation.is_failure() {
             s.failures.record_failure(halls, now);
         }
-        if what == Observation::Shed {
+        if observation == Observation::Shed {
             s.failures.record_shed(halls, now);
         }
     }
@@ -58,27 +63,27 @@
             s.failures.record_attempt(now);
         }
         if let Some(u) = self.upstreams.get(upstream) {
-            self.news.push(Update::Open { upstream: u.id, count: u.in_flight_count() });
+            self.updates.push(Update::Open { upstream: u.id, count: u.in_flight_count() });
         }
     }
 
     pub(super) fn spend(&mut self, k: ServiceKey, why: RetryReason, now: Time) -> bool {
-        let (rule, reach) = (self.retry_rule, self.reach);
+        let (rule, fleet_scope) = (self.retry_rule, self.fleet_scope);
         let Some(s) = self.services.get_mut(k) else { return false };
-        if !s.retries.spend(&rule, reach, why, now) {
+        if !s.retries.spend(&rule, fleet_scope, why, now) {
             if s.retries.announcement_due(now) {
-                self.news.push(Update::Denied {
+                self.updates.push(Update::Denied {
                     service: s.id,
-                    seen: s.retries.requests(),
-                    spent: s.retries.retries(),
+                    requests: s.retries.requests(),
+                    retries: s.retries.retries(),
                 });
             }
             return false;
         }
-        self.news.push(Update::Retry {
+        self.updates.push(Update::Retry {
             service: s.id,
-            seen: s.retries.requests(),
-            spent: s.retries.retries(),
+            requests: s.retries.requests(),
+            retries: s.retries.retries(),
         });
         true
     }
@@ -86,10 +91,10 @@
     /// Announces the evidence of an attempt that is still in flight.
     pub(super) fn record_in_flight(&mut self, k: AttemptKey, now: Time) {
         let Some(&a) = self.attempts.get(k) else { return };
-        for what in self.due_observations(&a, now) {
-            self.record_observation(a.upstream, what, now);
+        for observation in self.due_observations(&a, now) {
+            self.record_observation(a.upstream, observation, now);
             if let Some(a) = self.attempts.get_mut(k) {
-                a.announced = raise_announced(a.announced, what);
+                a.announced = raise_announced(a.announced, observation);
             }
         }
     }
@@ -137,10 +142,15 @@
         if let Some(u) = self.upstreams.get_mut(a.upstream) {
             u.in_flight.retain(|&x| x != k);
             let (upstream, count) = (u.id, u.in_flight_count());
-            let ago = Duration::ZERO;
-            self.news.push(Update::Ended { upstream, count, served, far: a.remote, ago });
+            self.updates.push(Update::Ended {
+                upstream,
+                count,
+                served,
+                remote: a.remote,
+                age: Duration::ZERO,
+            });
         }
-        let what = match outcome {
+        let observation = match outcome {
             Outcome::Whole | Outcome::Abandoned | Outcome::Late => {
                 // The caller or the deadline ended the attempt, so only its age is evidence.
                 if hung {
@@ -159,7 +169,7 @@
                 return;
             }
         };
-        self.record_observation(a.upstream, what, now);
+        self.record_observation(a.upstream, observation, now);
     }
 
     /// Records a successful answer to an attempt of this box.
@@ -171,11 +181,11 @@
         let connect_failures = std::mem::take(&mut u.connect_failures);
         if a.announced > 1.0 {
             // The attempt was announced as overdue or hung.
-            self.news.push(Update::Seen { upstream: u.id, what: Observation::Success });
+            self.updates.push(Update::Seen { upstream: u.id, observation: Observation::Success });
         }
-        if u.local && !u.recovery_announced && u.shared.chance(now) < RECOVERED_CHANCE {
+        if u.local && !u.recovery_announced && u.shared.probability(now) < RECOVERED_CHANCE {
             u.recovery_announced = true;
-            self.news.push(Update::Well { upstream: u.id });
+            self.updates.push(Update::Recovered { upstream: u.id });
         }
         self.mark_contradicted(&connect_failures, now);
     }
@@ -187,25 +197,25 @@
     }
 
     /// Records an observation of this box and broadcasts it.
-    fn record_observation(&mut self, k: UpstreamKey, what: Observation, now: Time) {
+    fn record_observation(&mut self, k: UpstreamKey, observation: Observation, now: Time) {
         let Some(service) = self.upstreams.get(k).map(|u| u.service) else { return };
-        self.count_failure(service, what, now);
+        self.count_failure(service, observation, now);
         let shed_share = self.services.get(service).map_or(0.0, |s| s.failures.shed_share());
         let u = &mut self.upstreams[k];
-        if what == Observation::Unreachable {
+        if observation == Observation::Unreachable {
             // The fault may only be in this box's path; otherwise other boxes report it too.
-            u.path.observe(what, now);
+            u.path.observe(observation, now);
             u.reset_last_sent();
         } else {
-            u.observe(what, shed_share, now);
+            u.observe(observation, shed_share, now);
         }
-        self.news.push(Update::Seen { upstream: u.id, what });
+        self.updates.push(Update::Seen { upstream: u.id, observation });
     }
 }
 
 /// Returns the announced likelihood ratio of an attempt after one more observation.
-pub(super) fn raise_announced(announced: f64, what: Observation) -> f64 {
-    match what {
+pub(super) fn raise_announced(announced: f64, observation: Observation) -> f64 {
+    match observation {
         Observation::Overdue => announced.max(OVERDUE_RATIO),
         Observation::Hung => announced.max(HUNG_RATIO),
         _ => announced,
@@ -228,18 +238,18 @@
     /// Updates the belief by an observation of any box.
     ///
     /// Shedding is the weaker evidence against one upstream, the more of it all upstreams do.
-    pub(super) fn observe(&mut self, what: Observation, shed_share: f64, now: Time) {
+    pub(super) fn observe(&mut self, observation: Observation, shed_share: f64, now: Time) {
         self.observed = true;
-        if what != Observation::Shed {
-            self.update_failures(what, now);
-            self.shared.observe(what, now);
+        if observation != Observation::Shed {
+            self.update_failures(observation, now);
+            self.shared.observe(observation, now);
             return;
         }
         if shed_share < COMMON_SHED_SHARE {
-            self.update_failures(what, now);
+            self.update_failures(observation, now);
         }
-        let (healthy, unhealthy) = what.likelihood();
-        self.shared.weigh(healthy.max(shed_share), unhealthy.max(shed_share), now);
+        let (healthy, unhealthy) = observation.likelihood();
+        self.shared.update(healthy.max(shed_share), unhealthy.max(shed_share), now);
     }
 
     /// Resets the last send time, as the last request did not reach the upstream.
@@ -259,16 +269,16 @@
         self.observed = true;
         self.last_success = self.last_success.max(Some(now));
         if late || announced > OVERDUE_RATIO {
-            self.shared.weigh(announced, LATE_RATIO, now);
+            self.shared.update(announced, LATE_RATIO, now);
         } else {
-            self.shared.weigh(announced, 1.0, now);
+            self.shared.update(announced, 1.0, now);
             self.shared.observe(Observation::Success, now);
         }
     }
 
     /// Updates the time and number of consecutive failures.
-    fn update_failures(&mut self, what: Observation, now: Time) {
-        match what {
+    fn update_failures(&mut self, observation: Observation, now: Time) {
+        match observation {
             Observation::Success => self.streak = 0,
             Observation::FailedWork | Observation::Overdue => {}
             _ => {
--- a/crates/honeypulley_policy/src/balance/named.rs
+++ b/crates/honeypulley_policy/src/balance/named.rs
@@ -47,9 +47,9 @@
     /// Requests per second that it accepts from all boxes.
     pub rate: f64,
     /// Share of the rate that this data hall may use.
-    pub part: f64,
+    pub share: f64,
     /// Tokens left at the last check, as far as this box knows.
-    pub left: Option<f64>,
+    pub remaining: Option<f64>,
 }
 
 /// A rate limit that an upstream advertised.
@@ -61,7 +61,7 @@
     /// When it was last broadcast.
     announced: Time,
     /// Share that this data hall may use.
-    part: f64,
+    share: f64,
 }
 
 impl LimitEntry {
@@ -87,8 +87,8 @@
 }
 
 impl RateLimits {
-    pub(super) fn new(hall: &str, past: RetryHistory, seed: u64) -> Self {
-        let buckets = FleetRateLimiter::new(hall, BUCKET_RULE, past, seed, Time::ZERO);
+    pub(super) fn new(hall: &str, history: RetryHistory, seed: u64) -> Self {
+        let buckets = FleetRateLimiter::new(hall, BUCKET_RULE, history, seed, Time::ZERO);
         Self { buckets, entries: BTreeMap::new() }
     }
 
@@ -111,9 +111,9 @@
     fn set(&mut self, id: NameId, rate: f64, now: Time) -> bool {
         self.remove_expired(now);
         let before = self.in_force(id, now).copied();
-        let part = before.map_or(1.0, |n| n.part);
+        let share = before.map_or(1.0, |n| n.share);
         let announced = before.map_or(now, |n| n.announced);
-        self.entries.insert(id, LimitEntry { rate, at: now, announced, part });
+        self.entries.insert(id, LimitEntry { rate, at: now, announced, share });
         self.update_bucket(id);
         // Compared at the precision of the broadcast value.
         before.is_none_or(|n| n.rate as f32 != rate as f32)
@@ -127,10 +127,10 @@
         }
     }
 
-    fn set_part(&mut self, id: NameId, part: f64) {
+    fn set_share(&mut self, id: NameId, share: f64) {
         let Some(n) = self.entries.get_mut(&id) else { return };
-        if n.part != part {
-            n.part = part;
+        if n.share != share {
+            n.share = share;
             self.update_bucket(id);
         }
     }
@@ -138,7 +138,7 @@
     fn update_bucket(&mut self, id: NameId) {
         let Some(n) = self.entries.get(&id) else { return };
         let rate = n.rate.max(MIN_RATE);
-        let limit = RateLimit { rate: rate * n.part, burst: (rate + BURST) * n.part };
+        let limit = RateLimit { rate: rate * n.share, burst: (rate + BURST) * n.share };
         self.buckets.set_limit(id, Some(limit));
     }
 }
@@ -161,7 +161,7 @@
         let is_lifted = self.limits.entries.get(&id).is_some_and(|n| started > n.at);
         if is_lifted {
             self.limits.discard(id);
-            self.news.push(Update::Limit { upstream: id, rate: None });
+            self.updates.push(Update::Limit { upstream: id, rate: None });
         }
         is_lifted
     }
@@ -176,7 +176,7 @@
         let Some(n) = self.limits.entries.get_mut(&id) else { return };
         if is_changed || now.since(n.announced) >= RENEW_INTERVAL {
             n.announced = now;
-            self.news.push(Update::Limit { upstream: id, rate: Some(n.rate as f32) });
+            self.updates.push(Update::Limit { upstream: id, rate: Some(n.rate as f32) });
         }
     }
 
@@ -239,10 +239,10 @@
         let u = &self.upstreams[k];
         let id = u.id;
         let Some(&n) = self.limits.in_force(id, now) else { return Ok(()) };
-        let part = self.hall_share(u, n.rate, division);
+        let share = self.hall_share(u, n.rate, division);
         let offset = self.random_offset(u);
-        self.limits.set_part(id, part);
-        if part == 0.0 {
+        self.limits.set_share(id, share);
+        if share == 0.0 {
             return Err(Duration::from_secs_f64(1.0 / n.rate.max(MIN_RATE)));
         }
         let is_deferrable = division == Division::Halls && (ask.repeatable || ask.priority > 0);
@@ -300,7 +300,7 @@
         let Some(id) = self.upstreams.get(k).map(|u| u.id) else { return };
         if self.limits.in_force(id, now).is_some() {
             self.limits.buckets.take(id, now);
-            self.news.extend(self.limits.buckets.take_updates());
+            self.updates.extend(self.limits.buckets.take_updates());
         }
     }
 
@@ -309,7 +309,7 @@
     pub fn advertised_limit(&self, k: UpstreamKey, now: Time) -> Option<AdvertisedLimit> {
         let id = self.upstreams.get(k)?.id;
         let n = self.limits.in_force(id, now)?;
-        let left = self.limits.buckets.level(id);
-        Some(AdvertisedLimit { rate: n.rate, part: n.part, left })
+        let remaining = self.limits.buckets.level(id);
+        Some(AdvertisedLimit { rate: n.rate, share: n.share, remaining })
     }
 }
--- a/crates/honeypulley_policy/src/balance/news.rs
+++ b/crates/honeypulley_policy/src/balance/news.rs
@@ -13,7 +13,7 @@
         /// The upstream.
         upstream: NameId,
         /// The observation.
-        what: Observation,
+        observation: Observation,
     },
     /// An attempt started; sent within the sender's data hall.
     Open {
@@ -31,12 +31,12 @@
         /// Whether it was answered successfully.
         served: bool,
         /// Requests of other data halls there, by the load report in its answer.
-        far: Option<u8>,
+        remote: Option<u8>,
         /// Time since it ended, by which the announcement was delayed.
-        ago: Duration,
+        age: Duration,
     },
     /// An upstream of the sender's data hall has recovered.
-    Well {
+    Recovered {
         /// The upstream.
         upstream: NameId,
     },
@@ -64,14 +64,14 @@
         /// Its service.
         service: NameId,
         /// Requests that the sender received within the budget's window.
-        seen: u16,
+        requests: u16,
         /// Retries that the sender made within that window; a lower bound.
-        spent: u8,
+        retries: u8,
     },
     /// Retries of all boxes within the window, for a newly started box.
     ///
     /// The sender was up for the whole window.
-    Spent {
+    RetrySum {
         /// Their service.
         service: NameId,
         /// Number of retries.
@@ -82,9 +82,9 @@
         /// Its service.
         service: NameId,
         /// Requests that the sender received within the budget's window.
-        seen: u16,
+        requests: u16,
         /// Retries that the sender made within that window; a lower bound.
-        spent: u8,
+        retries: u8,
     },
     /// The sender admitted a rate-limited request; sent within its data hall.
     Admitted {
@@ -119,12 +119,12 @@
 
     /// Returns the announcement with its delay since it was created.
     #[must_use]
-    pub const fn aged(self, waited: Duration) -> Self {
+    pub const fn with_age(self, age: Duration) -> Self {
         match self {
-            Self::Ended { upstream, count, served, far, .. } => {
-                Self::Ended { upstream, count, served, far, ago: waited }
+            Self::Ended { upstream, count, served, remote, .. } => {
+                Self::Ended { upstream, count, served, remote, age }
             }
-            news => news,
+            other => other,
         }
     }
 }
--- a/crates/honeypulley_policy/src/balance/retry.rs
+++ b/crates/honeypulley_policy/src/balance/retry.rs
@@ -74,7 +74,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct BudgetUsage {
     /// Requests of this box within the window.
-    pub seen: usize,
+    pub requests: usize,
     /// Retries and hedges of this box.
     pub own: usize,
     /// Retries and hedges announced by peers.
@@ -82,13 +82,13 @@
     /// Retries and hedges that the fleet may make, by this box's estimate.
     pub budget: f64,
     /// Whether retries from before this box started are known.
-    pub past_known: bool,
+    pub history_known: bool,
 }
 
 /// Requests and retries of one service within the window.
 #[derive(Clone, Debug)]
 pub(super) struct RetryWindow {
-    past: RetryHistory,
+    history: RetryHistory,
     /// When this box started counting.
     started: Time,
     arrivals: VecDeque<Time>,
@@ -108,9 +108,9 @@
 pub(super) struct RetryReport {
     pub(super) from: NameId,
     /// Its requests within the window.
-    pub(super) seen: u16,
+    pub(super) requests: u16,
     /// Its retries within the window.
-    pub(super) spent: u8,
+    pub(super) retries: u8,
     /// Whether it has just retried a request.
     pub(super) retried: bool,
 }
@@ -120,14 +120,14 @@
 struct Traffic {
     from: NameId,
     /// Its requests within the window.
-    seen: u16,
+    requests: u16,
     at: Time,
 }
 
 impl RetryWindow {
-    pub(super) const fn new(past: RetryHistory, started: Time) -> Self {
+    pub(super) const fn new(history: RetryHistory, started: Time) -> Self {
         Self {
-            past,
+            history,
             started,
             arrivals: VecDeque::new(),
             own: VecDeque::new(),
@@ -143,8 +143,8 @@
     /// `None` if this box does not know all of them.
     pub(super) fn sum(&mut self, rule: &RetryRule, now: Time) -> Option<u16> {
         self.expire(rule, now);
-        let spent = self.total_retries();
-        self.knows_window(rule, now).then(|| u16::try_from(spent).unwrap_or(u16::MAX))
+        let retries = self.total_retries();
+        self.knows_window(rule, now).then(|| u16::try_from(retries).unwrap_or(u16::MAX))
     }
 
     /// Applies the retries of all boxes, announced by a peer.
@@ -154,14 +154,14 @@
         if self.knows_window(rule, now) {
             return;
         }
-        self.past = RetryHistory::Empty;
+        self.history = RetryHistory::Empty;
         let known = self.own.len() + self.others.len();
         self.inherited = Some((usize::from(sum).saturating_sub(known), now));
     }
 
     /// Returns whether the retries of the whole window are known.
     fn knows_window(&self, rule: &RetryRule, now: Time) -> bool {
-        self.past == RetryHistory::Empty || now.since(self.started) >= rule.window
+        self.history == RetryHistory::Empty || now.since(self.started) >= rule.window
     }
 
     fn total_retries(&self) -> usize {
@@ -180,7 +180,7 @@
     pub(super) fn apply_report(&mut self, rule: &RetryRule, report: RetryReport, now: Time) {
         self.expire(rule, now);
         let known = self.others.iter().filter(|(_, from)| *from == report.from).count();
-        let missed = usize::from(report.spent).saturating_sub(known);
+        let missed = usize::from(report.retries).saturating_sub(known);
         let more = missed.max(usize::from(report.retried));
         if let Some((n, _)) = &mut self.inherited {
             // Its earlier retries were part of the inherited sum.
@@ -188,7 +188,7 @@
         }
         self.others.extend(std::iter::repeat_n((now, report.from), more));
         self.traffic.retain(|t| t.from != report.from);
-        self.traffic.push(Traffic { from: report.from, seen: report.seen, at: now });
+        self.traffic.push(Traffic { from: report.from, requests: report.requests, at: now });
     }
 
     fn expire(&mut self, rule: &RetryRule, now: Time) {
@@ -229,24 +229,24 @@
     pub(super) fn spend(
         &mut self,
         rule: &RetryRule,
-        reach: FleetScope,
+        fleet_scope: FleetScope,
         why: RetryReason,
         now: Time,
     ) -> bool {
         self.expire(rule, now);
-        let boxes = reach.boxes.max(1) as f64;
-        let (seen, own) = (self.arrivals.len() as f64, self.own.len() as f64);
+        let boxes = fleet_scope.boxes.max(1) as f64;
+        let (requests, own) = (self.arrivals.len() as f64, self.own.len() as f64);
         let slack = self.slack(rule, now);
         let budget = self.budget(rule, now);
         let share = match why {
             RetryReason::Failed => USABLE_SHARE,
             RetryReason::Overdue { stuck } => HEDGE_EXTRA.mul_add(stuck, HEDGE_SHARE),
         };
-        let equal_share = rule.ratio.mul_add(seen, slack / boxes);
+        let equal_share = rule.ratio.mul_add(requests, slack / boxes);
         let own_limit =
-            if reach.in_touch { equal_share.max(BOX_SHARE * budget) } else { equal_share };
-        let spent = self.total_retries() as f64;
-        if spent + 1.0 > share * budget || own + 1.0 > own_limit {
+            if fleet_scope.in_touch { equal_share.max(BOX_SHARE * budget) } else { equal_share };
+        let retries = self.total_retries() as f64;
+        if retries + 1.0 > share * budget || own + 1.0 > own_limit {
             return false;
         }
         self.own.push_back(now);
@@ -260,13 +260,13 @@
     /// when it retries or is denied. Extrapolating from one box or data hall allowed up to
     /// twice the budget with unevenly distributed callers.
     fn budget(&self, rule: &RetryRule, now: Time) -> f64 {
-        let peers: f64 = self.traffic.iter().map(|t| f64::from(t.seen)).sum();
+        let peers: f64 = self.traffic.iter().map(|t| f64::from(t.requests)).sum();
         rule.ratio.mul_add(self.arrivals.len() as f64 + peers, self.slack(rule, now))
     }
 
     /// Returns the sends allowed beyond the share of the requests.
     ///
-    /// With an unknown past, the fleet may have used its usable share of the slack just before
+    /// With an unknown history, the fleet may have used its usable share of the slack just before
     /// this box started, so only the rest is available for a whole window. Without this, a
     /// fleet that lost power used the slack twice: 90 extra sends in ten seconds where 87 were
     /// allowed. The rest still allows a retry in the first second.
@@ -277,11 +277,11 @@
     /// Returns the usage of the budget.
     pub(super) fn usage(&self, rule: &RetryRule, now: Time) -> BudgetUsage {
         BudgetUsage {
-            seen: self.arrivals.len(),
+            requests: self.arrivals.len(),
             own: self.own.len(),
             others: self.total_retries() - self.own.len(),
             budget: self.budget(rule, now),
-            past_known: self.knows_window(rule, now),
+            history_known: self.knows_window(rule, now),
         }
     }
 }
--- a/crates/honeypulley_policy/src/balance/signals.rs
+++ b/crates/honeypulley_policy/src/balance/signals.rs
@@ -89,7 +89,7 @@
             (s.leaving && d.record_shutdown(), until.is_some_and(|t| d.extend_backoff(t)))
         });
         if leaving {
-            self.news.push(Update::Leaving { upstream: a.id });
+            self.updates.push(Update::Leaving { upstream: a.id });
         }
         let limit = s.limit.is_some_and(|rate| self.record_limit(k, rate, now));
         SignalChanges { limit, leaving, backoff }
--- a/crates/honeypulley_policy/src/balance/trial.rs
+++ b/crates/honeypulley_policy/src/balance/trial.rs
@@ -115,7 +115,7 @@
     fn is_due(&self, k: UpstreamKey, rule: ProbeRule, now: Time) -> bool {
         let u = &self.upstreams[k];
         let is_available = !u.is_backed_off(rule.backoff, now);
-        let is_free = u.local && u.busy(now) < u.slots && u.path.chance(now) < BAD_PATH_CHANCE;
+        let is_free = u.local && u.busy(now) < u.slots && u.path.probability(now) < BAD_PATH_CHANCE;
         let idle = u.idle_time(rule.backoff, now);
         is_available
             && is_free
@@ -142,8 +142,8 @@
         }
         let mut draw = || due[self.rng.usize(..due.len())];
         let (a, b) = (draw(), draw());
-        let chance = |k: UpstreamKey| self.upstreams[k].shared.chance(now);
-        Some(if chance(b) < chance(a) { b } else { a })
+        let probability = |k: UpstreamKey| self.upstreams[k].shared.probability(now);
+        Some(if probability(b) < probability(a) { b } else { a })
     }
 }
 
--- a/crates/honeypulley_policy/src/belief.rs
+++ b/crates/honeypulley_policy/src/belief.rs
@@ -98,13 +98,13 @@
 
     /// Creates an estimate for something that seldom fails, such as a network path.
     #[must_use]
-    pub const fn sound(now: Time) -> Self {
+    pub const fn for_path(now: Time) -> Self {
         Self { early: MIN_PROBABILITY, late: MIN_PROBABILITY, onset: PATH_ONSET, updated: now }
     }
 
     /// Creates an estimate from the phase probabilities reported by a peer.
     #[must_use]
-    pub fn told([early, late]: [f64; 2], now: Time) -> Self {
+    pub fn from_peer([early, late]: [f64; 2], now: Time) -> Self {
         let early = early.clamp(MIN_PROBABILITY, 1.0 - 2.0 * MIN_PROBABILITY);
         let late = late.clamp(MIN_PROBABILITY, 1.0 - MIN_PROBABILITY - early);
         Self { early, late, onset: ONSET, updated: now }
@@ -112,14 +112,14 @@
 
     /// Returns the probabilities of the two unhealthy phases at `now`.
     #[must_use]
-    pub fn phases(&self, now: Time) -> [f64; 2] {
+    pub fn phase_probabilities(&self, now: Time) -> [f64; 2] {
         let predicted = self.predicted(now);
         [predicted.early, predicted.late]
     }
 
     /// Returns the probability that the upstream is unhealthy at `now`.
     #[must_use]
-    pub fn chance(&self, now: Time) -> f64 {
+    pub fn probability(&self, now: Time) -> f64 {
         let predicted = self.predicted(now);
         predicted.early + predicted.late
     }
@@ -127,11 +127,11 @@
     /// Updates the estimate with one observation.
     pub fn observe(&mut self, o: Observation, now: Time) {
         let (healthy, unhealthy) = o.likelihood();
-        self.weigh(healthy, unhealthy, now);
+        self.update(healthy, unhealthy, now);
     }
 
     /// Updates the estimate by the likelihoods for a healthy and an unhealthy upstream.
-    pub fn weigh(&mut self, healthy: f64, unhealthy: f64, now: Time) {
+    pub fn update(&mut self, healthy: f64, unhealthy: f64, now: Time) {
         *self = self.predicted(now);
         let joint = [
             (1.0 - self.early - self.late) * healthy,
@@ -148,7 +148,7 @@
     }
 
     /// Lowers the estimate after a better informed peer reported the upstream healthy.
-    pub fn calm(&mut self, now: Time) {
+    pub fn cap_unhealthy(&mut self, now: Time) {
         *self = self.predicted(now);
         let unhealthy = self.early + self.late;
         if unhealthy > MAX_REPORTED_HEALTHY {
--- a/crates/honeypulley_policy/src/fleet_limits/buckets.rs
+++ b/crates/honeypulley_policy/src/fleet_limits/buckets.rs
@@ -66,31 +66,31 @@
     rule: LimitRule,
     hall: NameId,
     scope: Scope,
-    past: RetryHistory,
+    history: RetryHistory,
     /// Start of counting on this box.
     started_at: Time,
     limits: BTreeMap<NameId, RateLimit>,
     usages: BTreeMap<NameId, Usage>,
     /// Subjects with changes since the last call of [`FleetRateLimiter::due`].
     changed: BTreeSet<NameId>,
-    news: Vec<Update>,
+    updates: Vec<Update>,
     rng: fastrand::Rng,
 }
 
 impl FleetRateLimiter {
     /// Creates the limits of a box in data hall `hall`.
     #[must_use]
-    pub fn new(hall: &str, rule: LimitRule, past: RetryHistory, seed: u64, now: Time) -> Self {
+    pub fn new(hall: &str, rule: LimitRule, history: RetryHistory, seed: u64, now: Time) -> Self {
         Self {
             rule,
             hall: NameId::of(hall),
             scope: Scope::default(),
-            past,
+            history,
             started_at: now,
             limits: BTreeMap::new(),
             usages: BTreeMap::new(),
             changed: BTreeSet::new(),
-            news: Vec::new(),
+            updates: Vec::new(),
             rng: fastrand::Rng::with_seed(seed),
         }
     }
@@ -165,7 +165,7 @@
         u.record_admitted(1, now);
         u.announced = u.announced.wrapping_add(1);
         let sum = u.announced;
-        self.news.push(Update::Admitted { subject: id, sum });
+        self.updates.push(Update::Admitted { subject: id, sum });
     }
 
     /// Returns a subject's remaining tokens as of its last refill.
@@ -249,12 +249,12 @@
         u.unannounced = false;
         let latest = u16::try_from(u.hall_recent.latest(now)).unwrap_or(u16::MAX);
         let count = HallCount { hall, sum: u.hall_sum, latest, level: u.announced_level() };
-        self.news.push(Update::HallAdmitted { subject: id, count });
+        self.updates.push(Update::HallAdmitted { subject: id, count });
     }
 
     /// Drains the queued announcements.
     pub fn take_updates(&mut self) -> Vec<Update> {
-        std::mem::take(&mut self.news)
+        std::mem::take(&mut self.updates)
     }
 
     /// Returns a snapshot of a subject's usage, for the log.
@@ -280,7 +280,7 @@
         // A subject first seen more than a window after the start has had no earlier
         // admissions in this hall, since peers would have announced them.
         let is_known =
-            self.past == RetryHistory::Empty || now.since(self.started_at) > self.rule.window;
+            self.history == RetryHistory::Empty || now.since(self.started_at) > self.rule.window;
         let reduced =
             RESTART_BURST_SHARE.mul_add(limit.burst, RESTART_SLACK_SHARE * self.rule.slack);
         let level = if is_known { limit.burst } else { reduced.min(limit.burst) };
--- a/crates/honeypulley_policy/src/quarantine.rs
+++ b/crates/honeypulley_policy/src/quarantine.rs
@@ -124,7 +124,7 @@
 #[derive(Debug, Default)]
 pub struct Quarantine {
     records: BTreeMap<Fingerprint, Record>,
-    news: Vec<RequestUpdate>,
+    updates: Vec<RequestUpdate>,
     new_holds: Vec<Hold>,
 }
 
@@ -146,7 +146,7 @@
     /// Records that an upstream crashed during a request of this box.
     pub fn record_crash(&mut self, request: Fingerprints, end: End, now: Time) {
         for (scope, request) in request.each() {
-            self.news.push(RequestUpdate::Ended {
+            self.updates.push(RequestUpdate::Ended {
                 request,
                 scope,
                 upstream: end.upstream,
@@ -168,7 +168,7 @@
     pub fn clear(&mut self, request: Fingerprint, now: Time) -> bool {
         let was_suspected = self.records.get_mut(&request).is_some_and(|r| r.record_success(now));
         if was_suspected {
-            self.news.push(RequestUpdate::Served { request, ago: Duration::ZERO });
+            self.updates.push(RequestUpdate::Served { request, ago: Duration::ZERO });
         }
         was_suspected
     }
@@ -180,7 +180,7 @@
             let Some(hold) = r.hold(f, now) else { continue };
             if now.since(r.announced_at) >= ANNOUNCE_INTERVAL {
                 r.announced_at = now;
-                self.news.push(hold.news());
+                self.updates.push(hold.news());
             }
         }
     }
@@ -246,7 +246,7 @@
 
     /// Drains the queued announcements.
     pub fn take_updates(&mut self) -> Vec<RequestUpdate> {
-        std::mem::take(&mut self.news)
+        std::mem::take(&mut self.updates)
     }
 
     /// Drains the holds added since the last call, for the log.
@@ -280,7 +280,7 @@
         let Some(r) = self.records.get_mut(&f) else { return };
         r.start_hold(now);
         let hold = r.hold(f, now);
-        self.news.extend(hold.as_ref().map(Hold::news));
+        self.updates.extend(hold.as_ref().map(Hold::news));
         self.new_holds.extend(hold);
     }
 
--- a/crates/honeypulley_policy/tests/balance/budget.rs
+++ b/crates/honeypulley_policy/tests/balance/budget.rs
@@ -18,9 +18,9 @@
     let now = Time::from_millis(100);
     assert!(b.spend_retry(service, RetryReason::Failed, now));
     for _ in 0..10 {
-        b.heard(
+        b.apply_update(
             NameId::of("other"),
-            Update::Retry { service: NameId::of("s"), seen: 0, spent: 1 },
+            Update::Retry { service: NameId::of("s"), requests: 0, retries: 1 },
             now,
         );
     }
@@ -36,7 +36,7 @@
 fn isolated_boxes_keep_the_budget_together() {
     let boxes = 40;
     let rule = RetryRule { slack: 58.0, ..RULE };
-    let mut spent = 0;
+    let mut retries = 0;
     for seed in 0..boxes {
         let mut b = Balancer::new("h", rule, seed);
         b.set_services(&[ServiceSpec::builder().name("s").build()], Time::ZERO);
@@ -44,12 +44,12 @@
         let service = b.service("s").expect("service is configured");
         for i in 0..10 {
             let now = Time::from_millis(i * 100);
-            b.arrived(service, now);
-            spent += usize::from(b.spend_retry(service, RetryReason::Failed, now));
+            b.record_request(service, now);
+            retries += usize::from(b.spend_retry(service, RetryReason::Failed, now));
         }
     }
     // A fifth of 400 requests and the slack.
-    assert!(spent <= 80 + 58, "{spent}");
+    assert!(retries <= 80 + 58, "{retries}");
 }
 
 #[test]
@@ -70,9 +70,9 @@
         b.set_fleet_scope(FleetScope { boxes: 40, in_touch: true });
         let service = b.service("s").expect("service is configured");
         let now = Time::from_millis(100);
-        (0..100).for_each(|_| b.arrived(service, now));
-        let retry = Update::Retry { service: NameId::of("s"), seen: announced, spent: 1 };
-        b.heard(NameId::of("other"), retry, now);
+        (0..100).for_each(|_| b.record_request(service, now));
+        let retry = Update::Retry { service: NameId::of("s"), requests: announced, retries: 1 };
+        b.apply_update(NameId::of("other"), retry, now);
         (0..1_000).take_while(|_| b.spend_retry(service, RetryReason::Failed, now)).count()
     };
     assert!(max_retries(0) <= 30, "a fifth of 100 requests plus the slack of 10");
@@ -89,13 +89,13 @@
     b.set_fleet_scope(FleetScope { boxes: 5, in_touch: true });
     let service = b.service("s").expect("service is configured");
     let other = NameId::of("other");
-    let denied = |spent| Update::Denied { service: NameId::of("s"), seen: 0, spent };
+    let denied = |retries| Update::Denied { service: NameId::of("s"), requests: 0, retries };
     let now = Time::from_millis(100);
-    b.heard(other, denied(10), now);
+    b.apply_update(other, denied(10), now);
     assert!(!b.spend_retry(service, RetryReason::Failed, now), "the fleet has used up its slack");
-    b.heard(other, denied(10), now);
-    let retry = Update::Retry { service: NameId::of("s"), seen: 0, spent: 11 };
-    b.heard(other, retry, now);
+    b.apply_update(other, denied(10), now);
+    let retry = Update::Retry { service: NameId::of("s"), requests: 0, retries: 11 };
+    b.apply_update(other, retry, now);
     assert_eq!(b.budget_use(service, now).others, 11, "each retry counts once");
 }
 
@@ -109,7 +109,7 @@
         b.set_services(&[ServiceSpec::builder().name("s").build()], now);
         b.set_fleet_scope(FleetScope { boxes: 6, in_touch: true });
     }
-    let mut spent = 0;
+    let mut retries = 0;
     // About a hundred times as many attempts as the rule allows.
     for n in 0..6_000 {
         let i = n % 6;
@@ -117,13 +117,13 @@
         if !boxes[i].spend_retry(key, RetryReason::Failed, now) {
             continue;
         }
-        spent += 1;
-        let news = Update::Retry { service, seen: 0, spent: 1 };
+        retries += 1;
+        let news = Update::Retry { service, requests: 0, retries: 1 };
         for b in boxes.iter_mut().enumerate().filter(|(j, _)| *j != i).map(|(_, b)| b) {
-            b.heard(NameId(i as u64), news, now);
+            b.apply_update(NameId(i as u64), news, now);
         }
     }
-    spent
+    retries
 }
 
 /// Guards against spending the budget twice after a power loss of all boxes.
@@ -146,7 +146,7 @@
 #[test]
 fn a_first_start_may_use_the_whole_slack_and_a_restart_the_rest() {
     let rule = RetryRule { slack: 58.0, ..RULE };
-    let spent = |past| {
+    let retries = |past| {
         let mut b = Balancer::new("h", rule, 7).with_retry_history(past);
         b.set_services(&[ServiceSpec::builder().name("s").build()], Time::ZERO);
         b.set_fleet_scope(FleetScope { boxes: 1, in_touch: false });
@@ -154,7 +154,7 @@
         let now = Time::from_millis(100);
         (0..100).take_while(|_| b.spend_retry(service, RetryReason::Failed, now)).count()
     };
-    let (before, after) = (spent(RetryHistory::Empty), spent(RetryHistory::Unknown));
+    let (before, after) = (retries(RetryHistory::Empty), retries(RetryHistory::Unknown));
     assert!(before >= 40, "{before} retries at once");
     assert!(after >= 1, "a request can be retried in the first second");
     assert!(
@@ -177,20 +177,20 @@
     let now = Time::from_millis(9_000);
     let service = NameId::of("s");
     let other = NameId::of("other");
-    running.heard(other, Update::Retry { service, seen: 0, spent: 30 }, now);
+    running.apply_update(other, Update::Retry { service, requests: 0, retries: 30 }, now);
     let mut restarted = fleet().with_retry_history(RetryHistory::Unknown);
     restarted.set_services(&[], now);
     restarted.set_services(&[ServiceSpec::builder().name("s").build()], now);
     let announced = running.retry_sums(now);
-    assert!(announced.contains(&Update::Spent { service, sum: 30 }), "{announced:?}");
+    assert!(announced.contains(&Update::RetrySum { service, sum: 30 }), "{announced:?}");
     for n in announced {
-        restarted.heard(NameId::of("old"), n, now);
+        restarted.apply_update(NameId::of("old"), n, now);
     }
     let key = restarted.service("s").expect("service is configured");
     let known = restarted.budget_use(key, now);
-    assert!(known.past_known && known.others == 30, "{known:?}");
+    assert!(known.history_known && known.others == 30, "{known:?}");
     // Retries that their sender announces again count once.
-    restarted.heard(other, Update::Retry { service, seen: 0, spent: 31 }, now);
+    restarted.apply_update(other, Update::Retry { service, requests: 0, retries: 31 }, now);
     assert_eq!(restarted.budget_use(key, now).others, 31);
     let mut more = 0;
     while restarted.spend_retry(key, RetryReason::Failed, now) {
--- a/crates/honeypulley_policy/tests/balance/choice.rs
+++ b/crates/honeypulley_policy/tests/balance/choice.rs
@@ -14,7 +14,7 @@
 #[test]
 fn a_failure_announced_by_a_peer_diverts_the_next_request() {
     let mut b = balancer(4);
-    b.heard(NameId::of("other"), failure("u1"), Time::from_millis(5));
+    b.apply_update(NameId::of("other"), failure("u1"), Time::from_millis(5));
     let picks = send(&mut b, 100, 10, false);
     assert_eq!(picks.get("u1"), None, "{picks:?}");
 }
@@ -22,7 +22,7 @@
 #[test]
 fn a_failed_upstream_gets_requests_again() {
     let mut b = balancer(4);
-    b.heard(NameId::of("other"), failure("u1"), Time::from_millis(5));
+    b.apply_update(NameId::of("other"), failure("u1"), Time::from_millis(5));
     let picks = send(&mut b, 400, 60_000, true);
     assert!(picks.contains_key("u1"), "{picks:?}");
 }
@@ -31,16 +31,16 @@
 fn failures_raise_the_probability_and_successes_lower_it() {
     let at = Time::from_millis(1_000);
     let mut belief = Belief::new(Time::ZERO);
-    let prior = belief.chance(at);
+    let prior = belief.probability(at);
     belief.observe(Observation::Failure, at);
-    let failed = belief.chance(at);
+    let failed = belief.probability(at);
     assert!(failed > 0.5, "one failure at a base rate of 1.2%: {failed}");
     let later = Time::from_millis(3_000);
     belief.observe(Observation::Success, later);
     belief.observe(Observation::Success, later);
-    let better = belief.chance(later);
+    let better = belief.probability(later);
     assert!(better < failed / 1.5, "{better}");
-    assert!(belief.chance(Time::from_millis(30_000)) < 0.3);
+    assert!(belief.probability(Time::from_millis(30_000)) < 0.3);
     assert!(prior < 0.2, "{prior}");
 }
 
@@ -49,12 +49,12 @@
     let mut belief = Belief::new(Time::ZERO);
     belief.observe(Observation::Failure, Time::ZERO);
     belief.observe(Observation::Success, Time::from_millis(1_000));
-    let soon = belief.chance(Time::from_millis(1_000));
+    let soon = belief.probability(Time::from_millis(1_000));
     assert!(soon > 0.5, "a quarter of the answers during a fault are successful: {soon}");
     for i in 0..20 {
         belief.observe(Observation::Success, Time::from_millis(6_000 + i * 1_000));
     }
-    let proven = belief.chance(Time::from_millis(25_200));
+    let proven = belief.probability(Time::from_millis(25_200));
     assert!(proven < 0.05, "{proven}");
 }
 
@@ -72,7 +72,7 @@
 ) {
     let mut belief = Belief::new(Time::ZERO);
     belief.observe(Observation::Failure, Time::ZERO);
-    let sick = belief.chance(Time::from_millis(ms));
+    let sick = belief.probability(Time::from_millis(ms));
     assert!(
         (least..=most).contains(&sick),
         "probability of being unhealthy is {sick} after {ms} ms"
@@ -85,10 +85,13 @@
     steps.observe(Observation::Failure, Time::ZERO);
     let whole = steps;
     for ms in (100..=8_000).step_by(100) {
-        steps = Belief::told(steps.phases(Time::from_millis(ms)), Time::from_millis(ms));
+        steps = Belief::from_peer(
+            steps.phase_probabilities(Time::from_millis(ms)),
+            Time::from_millis(ms),
+        );
     }
     let at = Time::from_millis(8_000);
-    assert!((steps.chance(at) - whole.chance(at)).abs() < 1e-6);
+    assert!((steps.probability(at) - whole.probability(at)).abs() < 1e-6);
 }
 
 /// Sends a request to the only upstream and fails it after `took` ms.
@@ -126,13 +129,13 @@
 fn a_started_box_adopts_beliefs_only_where_it_has_none() {
     let mut old = balancer(3);
     send(&mut old, 300, 10, false);
-    old.heard(NameId::of("other"), failure("u1"), Time::from_millis(3_000));
-    let announced = old.beliefs(Time::from_millis(3_010));
+    old.apply_update(NameId::of("other"), failure("u1"), Time::from_millis(3_000));
+    let announced = old.belief_snapshot(Time::from_millis(3_010));
     assert_eq!(announced.len(), 3, "{announced:?}");
     let mut new = balancer(3);
-    new.heard(NameId::of("other"), failure("u2"), Time::from_millis(5));
+    new.apply_update(NameId::of("other"), failure("u2"), Time::from_millis(5));
     announced.into_iter().for_each(|n| {
-        new.heard(NameId::of("old"), n, Time::from_millis(10));
+        new.apply_update(NameId::of("old"), n, Time::from_millis(10));
     });
     let rows = new.status(Time::from_millis(10));
     let sick =
@@ -149,17 +152,18 @@
 #[test]
 fn an_unreachable_upstream_becomes_suspect_only_by_a_second_box() {
     let mut b = balancer(3);
-    let unreachable = Update::Seen { upstream: NameId::of("u1"), what: Observation::Unreachable };
+    let unreachable =
+        Update::Seen { upstream: NameId::of("u1"), observation: Observation::Unreachable };
     for i in 0..5 {
-        b.heard(NameId::of("cut-off"), unreachable, Time::from_millis(i * 100));
+        b.apply_update(NameId::of("cut-off"), unreachable, Time::from_millis(i * 100));
     }
     let sick = |b: &Balancer, name: &str| {
         let rows = b.status(Time::from_millis(600));
         rows.iter().find(|r| r.upstream == name).map(|r| r.sick)
     };
     assert_eq!(sick(&b, "u1"), sick(&b, "u2"), "a single box is not corroborated");
-    b.heard(NameId::of("cut-off"), unreachable, Time::from_millis(4_000));
-    b.heard(NameId::of("another"), unreachable, Time::from_millis(4_100));
+    b.apply_update(NameId::of("cut-off"), unreachable, Time::from_millis(4_000));
+    b.apply_update(NameId::of("another"), unreachable, Time::from_millis(4_100));
     let picks = send(&mut b, 30, 4_200, false);
     assert_eq!(picks.get("u1"), None, "two boxes corroborate each other: {picks:?}");
 }
@@ -222,10 +226,10 @@
     let mut b = balancer(1);
     b.set_upstream(listed("far", "elsewhere", MemberState::Live), Time::ZERO);
     for name in ["far", "u0"] {
-        b.heard(NameId::of("other"), failure(name), Time::from_millis(10));
-        b.heard(
+        b.apply_update(NameId::of("other"), failure(name), Time::from_millis(10));
+        b.apply_update(
             NameId::of("other"),
-            Update::Well { upstream: NameId::of(name) },
+            Update::Recovered { upstream: NameId::of(name) },
             Time::from_millis(20),
         );
     }
@@ -239,11 +243,11 @@
 #[test]
 fn a_recovery_is_announced_once() {
     let mut b = balancer(1);
-    b.heard(NameId::of("other"), failure("u0"), Time::from_millis(10));
+    b.apply_update(NameId::of("other"), failure("u0"), Time::from_millis(10));
     send(&mut b, 50, 3_000, true);
     let upstream = NameId::of("u0");
     let announced =
-        b.take_updates().into_iter().filter(|n| *n == Update::Well { upstream }).count();
+        b.take_updates().into_iter().filter(|n| *n == Update::Recovered { upstream }).count();
     assert_eq!(announced, 1);
 }
 
@@ -255,7 +259,7 @@
     let ask = ask(&b, false);
     for i in 0..400 {
         let now = Time::from_millis(10 + i * 10);
-        b.arrived(ask.service, now);
+        b.record_request(ask.service, now);
         let pick = b.pick(&ask, &[], now).expect("upstreams are available");
         let name = b.place(pick.upstream).expect("upstream is known").name.to_owned();
         if sheds(&name, i) {
--- a/crates/honeypulley_policy/tests/balance/halls.rs
+++ b/crates/honeypulley_policy/tests/balance/halls.rs
@@ -60,8 +60,8 @@
 fn suspect_local(b: &mut Balancer, at: u64) {
     for i in 0..5 {
         let upstream = NameId::of(&format!("near{i}"));
-        let news = Update::Seen { upstream, what: Observation::Failure };
-        b.heard(NameId::of("peer"), news, Time::from_millis(at));
+        let news = Update::Seen { upstream, observation: Observation::Failure };
+        b.apply_update(NameId::of("peer"), news, Time::from_millis(at));
     }
 }
 
--- a/crates/honeypulley_policy/tests/balance/lives.rs
+++ b/crates/honeypulley_policy/tests/balance/lives.rs
@@ -12,7 +12,7 @@
 
 /// Returns an upstream whose process started at `born` ms.
 fn incarnation(name: &str, born: u64) -> UpstreamEntry {
-    UpstreamEntry { born: Some(born), ..listed(name, "h", MemberState::Live) }
+    UpstreamEntry { started: Some(born), ..listed(name, "h", MemberState::Live) }
 }
 
 /// Returns a box with `u0` and `u1`, both in their first incarnation.
@@ -48,10 +48,12 @@
 #[test]
 fn a_new_incarnation_is_not_suspect_for_the_previous_one() {
     let mut b = two_upstreams();
-    let seen =
-        Update::Seen { upstream: incarnation("u0", 1_000).life(), what: Observation::Failure };
+    let seen = Update::Seen {
+        upstream: incarnation("u0", 1_000).incarnation(),
+        observation: Observation::Failure,
+    };
     for i in 0..3 {
-        b.heard(NameId::of("peer"), seen, at(i * 100));
+        b.apply_update(NameId::of("peer"), seen, at(i * 100));
     }
     assert!(share_of_u0(&mut b, 400) < 0.1, "the previous incarnation is suspect");
     b.set_upstream(incarnation("u0", 2_000), at(1_100));
@@ -63,10 +65,10 @@
 #[case::clock_set_back(500)]
 #[case::far_ahead(4_102_444_800_000)]
 fn attempts_of_peers_end_with_the_incarnation(#[case] born: u64) {
-    let open = Update::Open { upstream: incarnation("u0", 1_000).life(), count: 9 };
+    let open = Update::Open { upstream: incarnation("u0", 1_000).incarnation(), count: 9 };
     let [mut same, mut restarted] = [two_upstreams(), two_upstreams()];
-    same.heard(NameId::of("peer"), open, Time::ZERO);
-    restarted.heard(NameId::of("peer"), open, Time::ZERO);
+    same.apply_update(NameId::of("peer"), open, Time::ZERO);
+    restarted.apply_update(NameId::of("peer"), open, Time::ZERO);
     restarted.set_upstream(incarnation("u0", born), at(1));
     assert!(share_of_u0(&mut same, 2) < 0.1, "nine attempts are in flight there");
     assert!(share_of_u0(&mut restarted, 2) > 0.3, "no attempt is in flight there");
@@ -86,12 +88,14 @@
 fn late_announcements_of_the_previous_incarnation_are_ignored() {
     let mut b = two_upstreams();
     b.set_upstream(incarnation("u0", 2_000), at(100));
-    let seen =
-        Update::Seen { upstream: incarnation("u0", 1_000).life(), what: Observation::Failure };
+    let seen = Update::Seen {
+        upstream: incarnation("u0", 1_000).incarnation(),
+        observation: Observation::Failure,
+    };
     for i in 0..3 {
-        b.heard(NameId::of("peer"), seen, at(101 + i));
+        b.apply_update(NameId::of("peer"), seen, at(101 + i));
     }
-    b.heard(NameId::of("peer"), failure("u0"), at(110));
+    b.apply_update(NameId::of("peer"), failure("u0"), at(110));
     assert!(share_of_u0(&mut b, 111) > 0.3);
 }
 
@@ -125,10 +129,12 @@
 #[test]
 fn relisting_the_same_incarnation_keeps_its_state() {
     let mut b = two_upstreams();
-    let seen =
-        Update::Seen { upstream: incarnation("u0", 1_000).life(), what: Observation::Failure };
+    let seen = Update::Seen {
+        upstream: incarnation("u0", 1_000).incarnation(),
+        observation: Observation::Failure,
+    };
     for i in 0..3 {
-        b.heard(NameId::of("peer"), seen, at(i * 100));
+        b.apply_update(NameId::of("peer"), seen, at(i * 100));
     }
     b.set_upstream(incarnation("u0", 1_000), at(350));
     assert!(share_of_u0(&mut b, 400) < 0.1);
--- a/crates/honeypulley_policy/tests/balance/main.rs
+++ b/crates/honeypulley_policy/tests/balance/main.rs
@@ -32,7 +32,7 @@
         hall: hall.to_owned(),
         state,
     };
-    UpstreamEntry { member, slots: 3, cold: Duration::ZERO, born: None }
+    UpstreamEntry { member, slots: 3, warm_up: Duration::ZERO, started: None }
 }
 
 /// Returns a box in data hall `h` with `n` local upstreams.
@@ -91,5 +91,5 @@
 
 /// Returns a peer's announcement that an upstream failed at once.
 fn failure(name: &str) -> Update {
-    Update::Seen { upstream: NameId::of(name), what: Observation::Failure }
+    Update::Seen { upstream: NameId::of(name), observation: Observation::Failure }
 }
--- a/crates/honeypulley_policy/tests/balance/named.rs
+++ b/crates/honeypulley_policy/tests/balance/named.rs
@@ -37,7 +37,7 @@
 /// Applies a peer's announcement of a rate limit of `u0`.
 fn announce_limit(b: &mut Balancer, rate: Option<f32>, ms: u64) {
     let news = Update::Limit { upstream: NameId::of("u0"), rate };
-    b.heard(NameId(9), news, at(ms));
+    b.apply_update(NameId(9), news, at(ms));
 }
 
 /// Sends requests, 20 ms apart, and counts those that `u0` gets.
@@ -66,7 +66,7 @@
         // Every other datagram of the peer is lost.
         if s % 2 == 1 {
             let news = Update::Admitted { subject: NameId::of("u0"), sum: s };
-            b.heard(NameId(9), news, at(ms));
+            b.apply_update(NameId(9), news, at(ms));
         }
         got += count_u0(&mut b, ms, ms + 1_000, Some(1.0));
     }
@@ -102,7 +102,7 @@
     let ask = ask(&b, true);
     for u in ["u0", "u1"] {
         let news = Update::Limit { upstream: NameId::of(u), rate: Some(0.1) };
-        b.heard(NameId(9), news, at(0));
+        b.apply_update(NameId(9), news, at(0));
     }
     let mut sent = 0;
     for ms in (0..4_000).step_by(10) {
@@ -163,7 +163,7 @@
     let mut b = balancer(2);
     announce_limit(&mut b, Some(0.1), 0);
     count_u0(&mut b, 0, 3_000, Some(0.1));
-    let restarted = UpstreamEntry { born: Some(77), ..listed("u0", "h", MemberState::Live) };
+    let restarted = UpstreamEntry { started: Some(77), ..listed("u0", "h", MemberState::Live) };
     b.set_upstream(restarted, at(3_000));
     assert!(count_u0(&mut b, 3_000, 5_000, None) > 25, "half of the requests");
 }
@@ -183,9 +183,9 @@
     let mut b = balancer(2);
     announce_limit(&mut b, Some(2.5), 0);
     let limit = Update::Limit { upstream: NameId::of("u0"), rate: Some(2.5) };
-    assert!(b.beliefs(at(1_000)).contains(&limit));
+    assert!(b.belief_snapshot(at(1_000)).contains(&limit));
     announce_limit(&mut b, None, 2_000);
-    assert!(!b.beliefs(at(3_000)).contains(&limit));
+    assert!(!b.belief_snapshot(at(3_000)).contains(&limit));
 }
 
 #[test]
@@ -196,7 +196,7 @@
     let status = b.status(at(10_000));
     assert!(status.iter().all(|s| s.sick < 0.1), "{status:?}");
     let limit = status.iter().find(|s| s.upstream == "u0").and_then(|s| s.limit);
-    assert!(limit.is_some_and(|l| (l.rate - 0.5).abs() < 1e-9 && l.part == 1.0), "{status:?}");
+    assert!(limit.is_some_and(|l| (l.rate - 0.5).abs() < 1e-9 && l.share == 1.0), "{status:?}");
 }
 
 /// Returns a box of a fleet with two data halls of one upstream each.
@@ -226,7 +226,7 @@
         let mut b = two_halls(hall);
         for u in ["u0", "u1"] {
             let news = Update::Limit { upstream: NameId::of(u), rate: Some(8.0) };
-            b.heard(NameId(9), news, at(0));
+            b.apply_update(NameId(9), news, at(0));
         }
         let got = count_u0(&mut b, 0, 20_000, Some(8.0)) as f64;
         let most = part * 8.0_f64.mul_add(20.0, 10.5);
--- a/crates/honeypulley_policy/tests/balance/open_attempts.rs
+++ b/crates/honeypulley_policy/tests/balance/open_attempts.rs
@@ -14,7 +14,7 @@
 fn attempts_of_a_peer_in_the_hall_count_as_load() {
     let mut b = balancer(2);
     let open = Update::Open { upstream: NameId::of("u0"), count: 6 };
-    b.heard(NameId::of("peer"), open, Time::ZERO);
+    b.apply_update(NameId::of("peer"), open, Time::ZERO);
     let picks = send(&mut b, 50, 1, true);
     assert_eq!(picks.get("u0"), None, "{picks:?}");
 }
@@ -43,8 +43,8 @@
         announced,
         [
             Update::Open { upstream, count: 1 },
-            Update::Ended { upstream, count: 0, served: false, far: None, ago: Duration::ZERO },
-            Update::Seen { upstream, what: Observation::Failure },
+            Update::Ended { upstream, count: 0, served: false, remote: None, age: Duration::ZERO },
+            Update::Seen { upstream, observation: Observation::Failure },
         ]
     );
 }
@@ -64,13 +64,13 @@
         rows.iter().find(|r| r.upstream == "u0").expect("upstream is listed").sick
     };
     let before = sick(&b, 100);
-    b.heard(peer, Update::Open { upstream, count: 2 }, Time::from_millis(10));
-    if let Some(what) = observation {
-        b.heard(peer, Update::Seen { upstream, what }, Time::from_millis(50));
+    b.apply_update(peer, Update::Open { upstream, count: 2 }, Time::from_millis(10));
+    if let Some(observation) = observation {
+        b.apply_update(peer, Update::Seen { upstream, observation }, Time::from_millis(50));
     }
     let served = observation.is_none();
-    let ended = Update::Ended { upstream, count: 0, served, far: None, ago: Duration::ZERO };
-    b.heard(peer, ended, Time::from_millis(100));
+    let ended = Update::Ended { upstream, count: 0, served, remote: None, age: Duration::ZERO };
+    b.apply_update(peer, ended, Time::from_millis(100));
     assert_eq!(sick(&b, 100) < before, is_raised);
 }
 
@@ -106,7 +106,7 @@
 fn announce_queue(b: &mut Balancer, upstreams: usize, count: u16, at: Time) {
     for i in 0..upstreams {
         let upstream = NameId::of(&format!("u{i}"));
-        b.heard(NameId::of("peer"), Update::Open { upstream, count }, at);
+        b.apply_update(NameId::of("peer"), Update::Open { upstream, count }, at);
     }
 }
 
@@ -161,11 +161,11 @@
     b.answered(pick.attempt, true, now);
     b.finish(pick.attempt, Outcome::Whole, now);
     let upstream = NameId::of("u0");
-    let ago = Duration::ZERO;
-    let announced = Update::Ended { upstream, count: 0, served: true, far: Some(3), ago };
+    let announced =
+        Update::Ended { upstream, count: 0, served: true, remote: Some(3), age: Duration::ZERO };
     assert!(b.take_updates().contains(&announced));
     let mut other = balancer(1);
-    other.heard(NameId::of("peer"), announced, now);
+    other.apply_update(NameId::of("peer"), announced, now);
     let pick = other.pick(&ask, &[], now).expect("an upstream is available");
     assert!(
         other.inputs(pick.upstream, now).busy > 3.5,
@@ -184,13 +184,13 @@
     let sick = |usual: Option<Observation>| {
         let mut b = balancer(2);
         for i in 0..30 {
-            let what = usual.unwrap_or(Observation::Success);
-            let seen = Update::Seen { upstream: NameId::of("u1"), what };
-            b.heard(NameId::of("other"), seen, Time::from_millis(i));
+            let observation = usual.unwrap_or(Observation::Success);
+            let seen = Update::Seen { upstream: NameId::of("u1"), observation };
+            b.apply_update(NameId::of("other"), seen, Time::from_millis(i));
         }
         let upstream = NameId::of("u0");
         let open = Update::Open { upstream, count: 1 };
-        b.heard(NameId::of("peer"), open, Time::from_millis(100));
+        b.apply_update(NameId::of("peer"), open, Time::from_millis(100));
         let rows = b.status(Time::from_millis(101));
         let ask = ask(&b, true);
         let pick = b.pick(&ask, &[], Time::from_millis(101)).expect("two upstreams are available");
--- a/crates/honeypulley_policy/tests/balance/signals.rs
+++ b/crates/honeypulley_policy/tests/balance/signals.rs
@@ -58,7 +58,7 @@
 #[test]
 fn a_peer_that_receives_the_announcement_sends_nothing_either() {
     let mut b = balancer(3);
-    b.heard(NameId(9), Update::Leaving { upstream: NameId::of("u0") }, at(0));
+    b.apply_update(NameId(9), Update::Leaving { upstream: NameId::of("u0") }, at(0));
     assert_eq!(sent_to_u0(&mut b, 10), 0);
 }
 
@@ -87,7 +87,7 @@
 #[test]
 fn an_announcement_before_the_list_entry_applies() {
     let mut b = balancer(2);
-    b.heard(NameId(9), Update::Leaving { upstream: NameId::of("u7") }, at(0));
+    b.apply_update(NameId(9), Update::Leaving { upstream: NameId::of("u7") }, at(0));
     b.set_upstream(listed("u7", "h", MemberState::Live), at(100));
     assert_eq!(send(&mut b, 200, 200, true).get("u7"), None);
 }
@@ -96,7 +96,7 @@
 fn a_restart_clears_an_announced_shutdown() {
     let mut b = balancer(3);
     announce_shutdown(&mut b, 0);
-    let restarted = UpstreamEntry { born: Some(77), ..listed("u0", "h", MemberState::Live) };
+    let restarted = UpstreamEntry { started: Some(77), ..listed("u0", "h", MemberState::Live) };
     b.set_upstream(restarted, at(100));
     assert!(sent_to_u0(&mut b, 200) > 30, "a third of the requests");
 }
@@ -116,10 +116,10 @@
     let mut b = balancer(3);
     announce_shutdown(&mut b, 0);
     let leaving = Update::Leaving { upstream: NameId::of("u0") };
-    assert!(b.beliefs(at(10)).contains(&leaving));
+    assert!(b.belief_snapshot(at(10)).contains(&leaving));
     // From here on the list shows it.
     b.set_upstream(listed("u0", "h", MemberState::Leaving), at(20));
-    assert!(!b.beliefs(at(30)).contains(&leaving));
+    assert!(!b.belief_snapshot(at(30)).contains(&leaving));
 }
 
 #[test]
@@ -225,7 +225,7 @@
     assert_eq!(count_u0(&mut b, true, (100, 3_000)), 0);
     reject(&mut b, 4_000, 3_000);
     b.set_upstream(
-        UpstreamEntry { born: Some(7), ..listed("u0", "h", MemberState::Live) },
+        UpstreamEntry { started: Some(7), ..listed("u0", "h", MemberState::Live) },
         at(4_100),
     );
     assert!(count_u0(&mut b, true, (4_200, 5_000)) > 0);
--- a/crates/honeypulley_policy/tests/balance/trials.rs
+++ b/crates/honeypulley_policy/tests/balance/trials.rs
@@ -17,16 +17,16 @@
     let mut b = balancer(10);
     send(&mut b, 400, 10, false);
     for name in ["u1", "u2", "u3"] {
-        b.heard(NameId::of("other"), failure(name), Time::from_millis(4_010));
+        b.apply_update(NameId::of("other"), failure(name), Time::from_millis(4_010));
     }
     let service = b.service("s").expect("service is configured");
     let mut picks = BTreeMap::new();
     for from in (4_020..8_520).step_by(500) {
         // Failures of an upstream that never answers.
         for _ in 0..failures {
-            b.heard(NameId::of("other"), failure("u4"), Time::from_millis(from));
+            b.apply_update(NameId::of("other"), failure("u4"), Time::from_millis(from));
         }
-        (0..50).for_each(|i| b.arrived(service, Time::from_millis(from + i * 10)));
+        (0..50).for_each(|i| b.record_request(service, Time::from_millis(from + i * 10)));
         for (name, n) in send(&mut b, 50, from, false) {
             *picks.entry(name).or_insert(0) += n;
         }
@@ -48,14 +48,14 @@
     let failed: Vec<String> = (0..12).map(|i| format!("u{i}")).collect();
     for at in [6_000, 8_600] {
         for name in &failed {
-            b.heard(NameId::of("other"), failure(name), Time::from_millis(at));
+            b.apply_update(NameId::of("other"), failure(name), Time::from_millis(at));
         }
     }
     let mut probed = std::collections::BTreeSet::new();
     for from in (8_610..12_600).step_by(100) {
         // Failures of an upstream that never answers.
         for _ in 0..6 {
-            b.heard(NameId::of("other"), failure("u29"), Time::from_millis(from));
+            b.apply_update(NameId::of("other"), failure("u29"), Time::from_millis(from));
         }
         probed.extend(send(&mut b, 10, from, repeatable).into_keys());
     }
@@ -71,8 +71,8 @@
     let mut b = balancer(10);
     send(&mut b, 600, 10, false);
     for name in ["u1", "u2", "u3"] {
-        b.heard(NameId::of("other"), failure(name), Time::from_millis(6_000));
-        b.heard(NameId::of("other"), failure(name), Time::from_millis(8_500));
+        b.apply_update(NameId::of("other"), failure(name), Time::from_millis(6_000));
+        b.apply_update(NameId::of("other"), failure(name), Time::from_millis(8_500));
     }
     send(&mut b, 380, 8_510, false);
     let picks = send(&mut b, 350, 12_310, false);
@@ -88,7 +88,7 @@
     let mut b = balancer(40);
     send(&mut b, 1_500, 10, false);
     for i in 0..12 {
-        b.heard(NameId::of("other"), failure(&format!("u{i}")), Time::from_millis(15_000));
+        b.apply_update(NameId::of("other"), failure(&format!("u{i}")), Time::from_millis(15_000));
     }
     for i in 0..10 {
         let new = listed(&format!("new{i}"), "h", MemberState::Live);
@@ -106,8 +106,8 @@
 fn most_upstreams_get_work_in_any_two_seconds(#[case] repeatable: bool) {
     let mut b = balancer(10);
     for i in 0..8 {
-        b.heard(NameId::of("other"), failure(&format!("u{i}")), Time::from_millis(5));
-        b.heard(NameId::of("other"), failure(&format!("u{i}")), Time::from_millis(6));
+        b.apply_update(NameId::of("other"), failure(&format!("u{i}")), Time::from_millis(5));
+        b.apply_update(NameId::of("other"), failure(&format!("u{i}")), Time::from_millis(6));
     }
     // Failed upstreams are probed again after two seconds.
     for from in [6_000, 9_000, 20_000] {
@@ -124,7 +124,7 @@
 fn an_upstream_that_just_failed_is_not_probed() {
     let mut b = balancer(10);
     send(&mut b, 200, 10, true);
-    b.heard(NameId::of("other"), failure("u3"), Time::from_millis(2_010));
+    b.apply_update(NameId::of("other"), failure("u3"), Time::from_millis(2_010));
     let picks = send(&mut b, 190, 2_020, true);
     assert_eq!(picks.get("u3"), None, "{picks:?}");
 }
--- a/crates/honeypulley_policy/tests/floor.rs
+++ b/crates/honeypulley_policy/tests/floor.rs
@@ -74,7 +74,7 @@
         let at = Time::from_millis(now);
         let b = &mut self.boxes[from];
         let service = b.service("s").expect("service is configured");
-        b.arrived(service, at);
+        b.record_request(service, at);
         let ask = RequestInfo {
             service,
             repeatable,
@@ -118,7 +118,7 @@
             let sender = NameId::of(&from.to_string());
             for (to, b) in self.boxes.iter_mut().enumerate() {
                 if to != from {
-                    news.iter().for_each(|&n| drop(b.heard(sender, n, at)));
+                    news.iter().for_each(|&n| drop(b.apply_update(sender, n, at)));
                 }
             }
         }
@@ -150,7 +150,7 @@
             state: MemberState::Live,
         };
         b.set_upstream(
-            UpstreamEntry { member, slots: 2, cold: Duration::ZERO, born: None },
+            UpstreamEntry { member, slots: 2, warm_up: Duration::ZERO, started: None },
             Time::ZERO,
         );
     }
--- a/crates/honeypulley_policy/tests/load/hall.rs
+++ b/crates/honeypulley_policy/tests/load/hall.rs
@@ -197,7 +197,7 @@
         let mut r = Request { from, began: now, repeatable, tried: Vec::new(), open: None };
         self.count(&r, |c| c.sent += 1);
         let service = self.boxes[from].service("s").expect("service is configured");
-        self.boxes[from].arrived(service, Time::from_millis(now));
+        self.boxes[from].record_request(service, Time::from_millis(now));
         if self.send(&mut r, now) {
             self.requests.push(r);
         } else {
@@ -301,7 +301,7 @@
         while let Some((_, from, news)) = self.news.pop_front_if(|(due, ..)| *due <= now) {
             let sender = NameId(from as u64 + 1);
             for (_, b) in self.boxes.iter_mut().enumerate().filter(|(to, _)| *to != from) {
-                news.iter().for_each(|&n| drop(b.heard(sender, n, at)));
+                news.iter().for_each(|&n| drop(b.apply_update(sender, n, at)));
             }
         }
         for r in std::mem::take(&mut self.requests) {
@@ -313,7 +313,7 @@
             batched.extend(b.take_updates().into_iter().map(|n| (now, n)));
             let waits = batched.first().is_none_or(|&(at, _)| now < at + hold);
             if !waits || !batched.iter().all(|(_, n)| n.is_deferrable()) {
-                let aged = |(at, n): (u64, Update)| n.aged(Duration::from_millis(now - at));
+                let aged = |(at, n): (u64, Update)| n.with_age(Duration::from_millis(now - at));
                 let news = batched.drain(..).map(aged).collect();
                 self.news.push_back((now + NEWS_DELAY_MS, from, news));
             }
@@ -451,7 +451,7 @@
             state: MemberState::Live,
         };
         b.set_upstream(
-            UpstreamEntry { member, slots: plan.slots, cold: Duration::ZERO, born: None },
+            UpstreamEntry { member, slots: plan.slots, warm_up: Duration::ZERO, started: None },
             Time::ZERO,
         );
     }
--- a/crates/honeypulley_proxy/src/race.rs
+++ b/crates/honeypulley_proxy/src/race.rs
@@ -171,8 +171,8 @@
             attempts = self.routed.attempts, repeatable = self.routed.ask.repeatable,
             near = known.near, sick = known.sick as f32, path = known.path as f32, busy = known.busy as f32,
             load_age_ms = known.load_age.map(|d| d.as_millis() as u64),
-            limit = known.limit.map(|l| l.rate as f32), limit_part = known.limit.map(|l| l.part as f32),
-            limit_left = known.limit.and_then(|l| l.left).map(|left| left as f32),
+            limit = known.limit.map(|l| l.rate as f32), limit_part = known.limit.map(|l| l.share as f32),
+            limit_left = known.limit.and_then(|l| l.remaining).map(|left| left as f32),
             list:display = known.list.version, list_age_ms = known.list.age.map(|d| d.as_millis() as u64);
             "route: {kind} sent to {}", to.name
         );
@@ -322,8 +322,8 @@
             self.gate.count_for("retries.denied", &[("service", self.routed.service.as_str())]);
             log::info!(
                 request = self.id.as_str(), service = self.routed.service.as_str(), why:debug = why,
-                seen = known.seen, own = known.own, others = known.others, budget = known.budget as f32,
-                past_known = known.past_known;
+                seen = known.requests, own = known.own, others = known.others, budget = known.budget as f32,
+                past_known = known.history_known;
                 "route: not sent again, the retry budget is spent"
             );
         }
--- a/crates/honeypulley_proxy/tests/race/support.rs
+++ b/crates/honeypulley_proxy/tests/race/support.rs
@@ -55,7 +55,7 @@
             hall: "h".to_owned(),
             state: MemberState::Live,
         };
-        let listed = UpstreamEntry { member, slots: 3, cold: Duration::ZERO, born: None };
+        let listed = UpstreamEntry { member, slots: 3, warm_up: Duration::ZERO, started: None };
         balancer.set_upstream(listed, Time::ZERO);
     }
     let service = balancer.service("s").expect("the service was added");
--- a/tools/trial/src/model.rs
+++ b/tools/trial/src/model.rs
@@ -214,8 +214,8 @@
         let l = UpstreamEntry {
             member: m.clone(),
             slots: s.size.slots,
-            cold: Duration::ZERO,
-            born: None,
+            warm_up: Duration::ZERO,
+            started: None,
         };
         x.set_upstream(l, Time::ZERO);
     }
@@ -344,7 +344,7 @@
             Event::Permits { b } => self.see_permits(b),
             Event::Observe => self.observe(),
             Event::Update { from, to, news } => {
-                self.balancers[to].heard(NameId(from as u64 + 1), news, self.now);
+                self.balancers[to].apply_update(NameId(from as u64 + 1), news, self.now);
             }
             Event::Overdue { request } => self.overdue(request),
         }
--- a/tools/trial/src/model/traffic.rs
+++ b/tools/trial/src/model/traffic.rs
@@ -53,7 +53,7 @@
             Policy::Naive | Policy::Oracle => true,
             Policy::Belief => {
                 let k = self.services[b];
-                self.balancers[b].arrived(k, self.now);
+                self.balancers[b].record_request(k, self.now);
                 true
             }
             _ => self.routers[b].admit(self.keys[b], self.now).is_ok(),
