--- a/crates/honeypulley_daemon/src/admin.rs
+++ b/crates/honeypulley_daemon/src/admin.rs
@@ -119,9 +119,9 @@
         serde_json::json!({
             "request": h.request.to_string(),
             "scope": if h.scope == Scope::Caller { "caller" } else { "content" },
-            "ends": h.ends,
+            "ends": h.crashes,
             "trials": h.trials,
-            "left_ms": h.left.as_millis() as u64,
+            "left_ms": h.remaining.as_millis() as u64,
         })
     };
     serde_json::Value::from_iter(holds.iter().map(row)).to_string().into_bytes()
--- a/crates/honeypulley_mesh/src/held.rs
+++ b/crates/honeypulley_mesh/src/held.rs
@@ -127,7 +127,7 @@
         Self {
             request: h.request.0,
             content: h.scope == Scope::Content,
-            until_ms: (unix_now + h.left).as_millis() as u64,
+            until_ms: (unix_now + h.remaining).as_millis() as u64,
             trials: h.trials,
         }
     }
@@ -137,7 +137,7 @@
         RequestUpdate::Held {
             request: Fingerprint(self.request),
             scope: if self.content { Scope::Content } else { Scope::Caller },
-            left: Duration::from_millis(self.until_ms).saturating_sub(unix_now),
+            remaining: Duration::from_millis(self.until_ms).saturating_sub(unix_now),
             trials: self.trials,
         }
     }
--- a/crates/honeypulley_mesh/src/peers/tell.rs
+++ b/crates/honeypulley_mesh/src/peers/tell.rs
@@ -153,7 +153,7 @@
         let start = self.held_cursor.get() % held.len();
         let selected = held.iter().cycle().skip(start).take(held.len().min(MAX_REQUESTS));
         self.held_cursor.set(start + MAX_REQUESTS);
-        self.broadcast_requests(selected.map(Hold::news).collect());
+        self.broadcast_requests(selected.map(Hold::to_update).collect());
     }
 
     fn broadcast_requests(&self, items: Vec<RequestUpdate>) {
--- a/crates/honeypulley_mesh/src/serving.rs
+++ b/crates/honeypulley_mesh/src/serving.rs
@@ -89,9 +89,9 @@
 
     /// Prepares the reports on limits that are due to the other data halls.
     fn prepare_limit_reports(&mut self, now: Time) {
-        for organisation in self.limits.due(now) {
+        for organisation in self.limits.due_updates(now) {
             if let Some(rank) = self.mesh.announcer_rank(organisation, now) {
-                self.limits.tell(organisation, rank, now);
+                self.limits.announce(organisation, rank, now);
             }
         }
     }
@@ -223,7 +223,7 @@
         if let Some(o) = &organisation
             && let Err(wait) = policy.admit(o.id, now)
         {
-            let usage = policy.limits().usage_of(o.id, now);
+            let usage = policy.limits().usage(o.id, now);
             return Err(over_limit(wanted.request, o, wait, usage.unwrap_or_default()));
         }
         let belongs = match (&table.organisations, organisation) {
@@ -288,7 +288,7 @@
         let Some(all) = table.organisations.as_ref().filter(|_| !route.public) else {
             return Ok(None);
         };
-        if let Some(o) = wanted.key.and_then(|k| all.holder(k)) {
+        if let Some(o) = wanted.key.and_then(|k| all.find_by_key(k)) {
             return Ok(Some(o.clone()));
         }
         let in_touch = self.mesh.readers().in_touch(now);
@@ -310,8 +310,8 @@
 /// Refuses a request over its organisation's limit, with a time to retry after.
 fn over_limit(request: &str, o: &Organisation, wait: Duration, usage: LimitUsage) -> OwnAnswer {
     log::info!(
-        request, organisation = &*o.name, rate = usage.rate as f32, level = usage.level as f32,
-        hall = usage.hall, others = usage.others,
+        request, organisation = &*o.name, rate = usage.rate as f32, level = usage.tokens as f32,
+        hall = usage.hall, others = usage.other_halls,
         others_age_ms = usage.age.map(|d| d.as_millis() as u64),
         wait_ms = wait.as_millis() as u64;
         "route: refused, its organisation is over its limit"
@@ -396,7 +396,7 @@
         if let Some(table) = self.mesh.take_next_table() {
             policy.balancer().set_services(&table.services, now);
             let limits = table.organisations.iter().flat_map(Organisations::limits);
-            policy.limits().set_limits(limits);
+            policy.limits().replace_limits(limits);
             log::info!(version = table.version; "table: version {} is in force", table.version);
             self.mesh.in_force.store(Some(table));
         }
--- a/crates/honeypulley_mesh/src/state.rs
+++ b/crates/honeypulley_mesh/src/state.rs
@@ -17,7 +17,7 @@
 use honeypulley_platform::api::Object;
 use honeypulley_policy::balance::{Balancer, FleetScope, Update};
 use honeypulley_policy::collector::NameId;
-use honeypulley_policy::fleet_limits::Scope;
+use honeypulley_policy::fleet_limits::LimitScope;
 use honeypulley_policy::quarantine::{Quarantine, RequestUpdate};
 use honeypulley_policy::revision::Revision;
 use honeypulley_policy::routes::RouteTable;
@@ -281,9 +281,13 @@
 
     /// Returns the boxes and data halls that share the organisations' limits.
     #[must_use]
-    pub fn limit_scope(&self, now: Time) -> Scope {
+    pub fn limit_scope(&self, now: Time) -> LimitScope {
         let book = self.book.lock();
-        Scope { boxes: book.count(), halls: book.hall_sizes().len(), alone: book.is_isolated(now) }
+        LimitScope {
+            boxes: book.count(),
+            halls: book.hall_sizes().len(),
+            isolated: book.is_isolated(now),
+        }
     }
 
     /// Returns this box's rank among its hall's announcers of a subject, if it is one.
--- a/crates/honeypulley_mesh/src/suspects.rs
+++ b/crates/honeypulley_mesh/src/suspects.rs
@@ -31,6 +31,6 @@
     /// Applies a peer's updates about suspect requests.
     pub fn apply_request_updates(&self, items: Vec<RequestUpdate>) {
         let now = self.now();
-        self.update(&mut |q| items.iter().for_each(|&news| q.heard(news, now)));
+        self.update(&mut |q| items.iter().for_each(|&news| q.apply_update(news, now)));
     }
 }
--- a/crates/honeypulley_mesh/tests/boxes/restore.rs
+++ b/crates/honeypulley_mesh/tests/boxes/restore.rs
@@ -95,7 +95,7 @@
     RequestUpdate::Held {
         request: Fingerprint(7),
         scope: Scope::Content,
-        left: Duration::from_secs(60),
+        remaining: Duration::from_secs(60),
         trials: 0,
     }
 }
--- a/crates/honeypulley_peer/src/listing.rs
+++ b/crates/honeypulley_peer/src/listing.rs
@@ -166,8 +166,8 @@
             Update::Admitted { subject, sum } => (subject, wire::NewsKind::Admitted, sum),
             Update::HallAdmitted { subject, count } => {
                 row.set_hall(count.hall.0);
-                row.set_latest(count.latest);
-                row.set_level(count.level);
+                row.set_latest(count.recent);
+                row.set_level(count.tokens);
                 (subject, wire::NewsKind::HallAdmitted, count.sum)
             }
         };
@@ -222,8 +222,8 @@
                 let count = HallCount {
                     hall,
                     sum: r.get_count(),
-                    latest: r.get_latest(),
-                    level: r.get_level(),
+                    recent: r.get_latest(),
+                    tokens: r.get_level(),
                 };
                 Update::HallAdmitted { subject: id, count }
             }
--- a/crates/honeypulley_peer/src/requests.rs
+++ b/crates/honeypulley_peer/src/requests.rs
@@ -16,7 +16,13 @@
     for (i, update) in updates.iter().enumerate() {
         let mut row = list.reborrow().get(i as u32);
         match *update {
-            RequestUpdate::Ended { request, scope, upstream, began, ended } => {
+            RequestUpdate::Crashed {
+                request,
+                scope,
+                upstream,
+                since_sent: began,
+                since_crash: ended,
+            } => {
                 row.set_kind(wire::RequestKind::Ended);
                 row.set_request(request.0);
                 row.set_content(scope == Scope::Content);
@@ -24,12 +30,12 @@
                 row.set_began_ms(millis(began));
                 row.set_span_ms(millis(ended));
             }
-            RequestUpdate::Served { request, ago } => {
+            RequestUpdate::Served { request, age: ago } => {
                 row.set_kind(wire::RequestKind::Served);
                 row.set_request(request.0);
                 row.set_span_ms(millis(ago));
             }
-            RequestUpdate::Held { request, scope, left, trials } => {
+            RequestUpdate::Held { request, scope, remaining: left, trials } => {
                 row.set_kind(wire::RequestKind::Held);
                 row.set_request(request.0);
                 row.set_content(scope == Scope::Content);
@@ -51,16 +57,16 @@
     let scope = if r.get_content() { Scope::Content } else { Scope::Caller };
     let span = Duration::from_millis(r.get_span_ms().into());
     Ok(match r.get_kind()? {
-        wire::RequestKind::Ended => RequestUpdate::Ended {
+        wire::RequestKind::Ended => RequestUpdate::Crashed {
             request,
             scope,
             upstream: NameId(r.get_upstream()),
-            began: Duration::from_millis(r.get_began_ms().into()),
-            ended: span,
+            since_sent: Duration::from_millis(r.get_began_ms().into()),
+            since_crash: span,
         },
-        wire::RequestKind::Served => RequestUpdate::Served { request, ago: span },
+        wire::RequestKind::Served => RequestUpdate::Served { request, age: span },
         wire::RequestKind::Held => {
-            RequestUpdate::Held { request, scope, left: span, trials: r.get_trials() }
+            RequestUpdate::Held { request, scope, remaining: span, trials: r.get_trials() }
         }
     })
 }
--- a/crates/honeypulley_peer/tests/wire.rs
+++ b/crates/honeypulley_peer/tests/wire.rs
@@ -96,8 +96,8 @@
                     let count = HallCount {
                         hall,
                         sum: id as u16,
-                        latest: (id >> 16) as u16,
-                        level: (id >> 32) as i16,
+                        recent: (id >> 16) as u16,
+                        tokens: (id >> 32) as i16,
                     };
                     Update::HallAdmitted { subject: upstream, count }
                 }
@@ -113,15 +113,15 @@
             let (request, span) = (Fingerprint(request), Duration::from_millis(span.into()));
             let began = Duration::from_millis(began.into());
             match kind {
-                0 => RequestUpdate::Ended {
+                0 => RequestUpdate::Crashed {
                     request,
                     scope,
                     upstream: NameId(upstream),
-                    began,
-                    ended: span,
+                    since_sent: began,
+                    since_crash: span,
                 },
-                1 => RequestUpdate::Served { request, ago: span },
-                _ => RequestUpdate::Held { request, scope, left: span, trials },
+                1 => RequestUpdate::Served { request, age: span },
+                _ => RequestUpdate::Held { request, scope, remaining: span, trials },
             }
         },
     );
@@ -219,12 +219,12 @@
 
 #[test]
 fn the_largest_request_update_fits_a_forwarded_datagram() {
-    let item = RequestUpdate::Ended {
+    let item = RequestUpdate::Crashed {
         request: Fingerprint(u64::MAX - 1),
         scope: Scope::Content,
         upstream: NameId(u64::MAX - 2),
-        began: Duration::from_millis(0x1234_5678),
-        ended: Duration::from_millis(0x1234_5678),
+        since_sent: Duration::from_millis(0x1234_5678),
+        since_crash: Duration::from_millis(0x1234_5678),
     };
     let key = FleetKey::derive("a fleet key of tests");
     let body = Body::Requests { seq: u32::MAX - 1, items: vec![item; MAX_REQUESTS] };
--- a/crates/honeypulley_policy/benches/keys.rs
+++ b/crates/honeypulley_policy/benches/keys.rs
@@ -38,7 +38,7 @@
         let start = Instant::now();
         for i in 0..LOOKUPS {
             let digest = KeyDigest::of(keys[i % keys.len()].as_bytes());
-            black_box(organisations.holder(black_box(digest)));
+            black_box(organisations.find_by_key(black_box(digest)));
         }
         println!("{what}: {:.0} ns", start.elapsed().as_nanos() as f64 / LOOKUPS as f64);
     }
--- a/crates/honeypulley_policy/src/balance/named.rs
+++ b/crates/honeypulley_policy/src/balance/named.rs
@@ -10,7 +10,7 @@
 use super::{Balancer, RetryHistory, Service, Update, Upstream};
 use crate::chooser::RequestInfo;
 use crate::collector::NameId;
-use crate::fleet_limits::{FleetRateLimiter, LimitRule, RateLimit, Scope};
+use crate::fleet_limits::{FleetRateLimiter, LimitRule, LimitScope, RateLimit};
 use crate::placement::weight;
 use crate::router::{AttemptKey, UpstreamKey};
 use crate::time::Time;
@@ -216,7 +216,7 @@
         let Some(s) = self.services.get(ask.service) else { return (open, None) };
         let division = self.division(s, now);
         let boxes = self.hall_boxes;
-        self.limits.buckets.set_scope(Scope { boxes, halls: 1, alone: self.isolated });
+        self.limits.buckets.set_scope(LimitScope { boxes, halls: 1, isolated: self.isolated });
         let mut allowed = Vec::with_capacity(open.len());
         let mut wait: Option<Duration> = None;
         for k in open {
@@ -247,7 +247,7 @@
         }
         let is_deferrable = division == Division::Halls && (ask.repeatable || ask.priority > 0);
         let reserve = if is_deferrable { URGENT_RESERVE } else { 0.0 };
-        self.limits.buckets.room(id, 1.0 + offset * OFFSET_TOKENS + reserve, now)
+        self.limits.buckets.check(id, 1.0 + offset * OFFSET_TOKENS + reserve, now)
     }
 
     /// Returns this box's random offset (0 to 1) at an upstream.
@@ -299,7 +299,7 @@
     pub(super) fn count_send(&mut self, k: UpstreamKey, now: Time) {
         let Some(id) = self.upstreams.get(k).map(|u| u.id) else { return };
         if self.limits.in_force(id, now).is_some() {
-            self.limits.buckets.take(id, now);
+            self.limits.buckets.consume(id, now);
             self.updates.extend(self.limits.buckets.take_updates());
         }
     }
--- a/crates/honeypulley_policy/src/fleet_limits.rs
+++ b/crates/honeypulley_policy/src/fleet_limits.rs
@@ -11,4 +11,4 @@
 
 pub use buckets::{FleetRateLimiter, LimitUsage};
 pub use hall_count::HallCount;
-pub use rule::{LimitRule, RateLimit, Scope};
+pub use rule::{LimitRule, LimitScope, RateLimit};
--- a/crates/honeypulley_policy/src/fleet_limits/buckets.rs
+++ b/crates/honeypulley_policy/src/fleet_limits/buckets.rs
@@ -13,7 +13,7 @@
 //! and after a network partition each side is charged for the admissions of the other.
 
 use super::hall_count::{HallCount, RemoteHall};
-use super::rule::{LimitRule, RateLimit, Scope};
+use super::rule::{LimitRule, LimitScope, RateLimit};
 use super::usage::{ANNOUNCE_INTERVAL, MIN_LEVEL, Usage};
 use crate::balance::{RetryHistory, Update};
 use crate::collector::NameId;
@@ -51,11 +51,11 @@
     /// Allowed requests per second.
     pub rate: f64,
     /// Remaining tokens; negative if the limit was exceeded.
-    pub level: f64,
+    pub tokens: f64,
     /// Requests admitted in this data hall within the window.
     pub hall: u32,
     /// Announced admissions in the other data halls within a fifth of the window.
-    pub others: u32,
+    pub other_halls: u32,
     /// Age of the oldest count of another data hall, if there is one.
     pub age: Option<Duration>,
 }
@@ -65,13 +65,13 @@
 pub struct FleetRateLimiter {
     rule: LimitRule,
     hall: NameId,
-    scope: Scope,
+    scope: LimitScope,
     history: RetryHistory,
     /// Start of counting on this box.
     started_at: Time,
     limits: BTreeMap<NameId, RateLimit>,
     usages: BTreeMap<NameId, Usage>,
-    /// Subjects with changes since the last call of [`FleetRateLimiter::due`].
+    /// Subjects with changes since the last call of [`FleetRateLimiter::due_updates`].
     changed: BTreeSet<NameId>,
     updates: Vec<Update>,
     rng: fastrand::Rng,
@@ -84,7 +84,7 @@
         Self {
             rule,
             hall: NameId::of(hall),
-            scope: Scope::default(),
+            scope: LimitScope::default(),
             history,
             started_at: now,
             limits: BTreeMap::new(),
@@ -96,7 +96,7 @@
     }
 
     /// Replaces all limits and keeps the usage of the subjects that remain.
-    pub fn set_limits(&mut self, limits: impl IntoIterator<Item = (NameId, RateLimit)>) {
+    pub fn replace_limits(&mut self, limits: impl IntoIterator<Item = (NameId, RateLimit)>) {
         self.limits = limits.into_iter().collect();
         self.usages.retain(|id, _| self.limits.contains_key(id));
         for (id, u) in &mut self.usages {
@@ -119,7 +119,7 @@
     }
 
     /// Sets the number of boxes and data halls that share the limits.
-    pub const fn set_scope(&mut self, scope: Scope) {
+    pub const fn set_scope(&mut self, scope: LimitScope) {
         self.scope = scope;
     }
 
@@ -128,8 +128,8 @@
     /// # Errors
     /// Returns the time until a request is allowed; no token is consumed.
     pub fn admit(&mut self, id: NameId, now: Time) -> Result<(), Duration> {
-        self.room(id, 1.0, now)?;
-        self.take(id, now);
+        self.check(id, 1.0, now)?;
+        self.consume(id, now);
         Ok(())
     }
 
@@ -139,7 +139,7 @@
     ///
     /// # Errors
     /// Returns the time until the request is allowed.
-    pub fn room(&mut self, id: NameId, wanted: f64, now: Time) -> Result<(), Duration> {
+    pub fn check(&mut self, id: NameId, wanted: f64, now: Time) -> Result<(), Duration> {
         let Some(&limit) = self.limits.get(&id) else { return Ok(()) };
         let (scope, draw) = (self.scope, self.rng.f64());
         let u = self.usage_mut(id, limit, now);
@@ -156,7 +156,7 @@
     }
 
     /// Consumes one token for a request that this box forwards, and announces it.
-    pub fn take(&mut self, id: NameId, now: Time) {
+    pub fn consume(&mut self, id: NameId, now: Time) {
         let Some(&limit) = self.limits.get(&id) else { return };
         let scope = self.scope;
         let u = self.usage_mut(id, limit, now);
@@ -198,20 +198,20 @@
         let u = self.usage_mut(id, limit, now);
         u.refill(scope, now);
         u.heard_at = now;
-        u.correct(count.level);
+        u.correct(count.tokens);
         if is_own_hall {
             u.announced_at = Some(now);
             return;
         }
-        let HallCount { hall, sum, latest, .. } = count;
-        let update = RemoteHall { announcer: from, sum, latest, heard_at: now };
+        let HallCount { hall, sum, recent, .. } = count;
+        let update = RemoteHall { announcer: from, sum, recent, heard_at: now };
         let known = u.remote_halls.get(&hall).copied().filter(|f| now.since(f.heard_at) < window);
         let same = known.filter(|f| f.announcer == from);
         if same.is_some_and(|f| f.sum != sum && f.sum.wrapping_sub(sum) <= MAX_REORDERED) {
             return;
         }
         u.remote_halls.insert(hall, update);
-        let more = same.map(|f| sum.wrapping_sub(f.sum)).filter(|&n| n <= latest);
+        let more = same.map(|f| sum.wrapping_sub(f.sum)).filter(|&n| n <= recent);
         u.bucket.level -= match (more, known) {
             (Some(n), _) => n.into(),
             (None, Some(f)) => count.recent_estimate(now.since(f.heard_at), window),
@@ -223,7 +223,7 @@
     ///
     /// Considers only subjects with admissions or announcements since the last call.
     #[must_use]
-    pub fn due(&mut self, now: Time) -> Vec<NameId> {
+    pub fn due_updates(&mut self, now: Time) -> Vec<NameId> {
         let (rule, scope) = (self.rule, self.scope);
         let changed = std::mem::take(&mut self.changed);
         let is_due = |id: &NameId| {
@@ -237,7 +237,7 @@
     ///
     /// `rank` is this box's rank among the hall's announcers. A box with a rank above zero is a
     /// backup, which stays silent while the first one announces.
-    pub fn tell(&mut self, id: NameId, rank: usize, now: Time) {
+    pub fn announce(&mut self, id: NameId, rank: usize, now: Time) {
         let hall = self.hall;
         let Some(u) = self.usages.get_mut(&id) else { return };
         let is_recent =
@@ -247,8 +247,8 @@
         }
         u.announced_at = (rank == 0).then_some(now).or(u.announced_at);
         u.unannounced = false;
-        let latest = u16::try_from(u.hall_recent.latest(now)).unwrap_or(u16::MAX);
-        let count = HallCount { hall, sum: u.hall_sum, latest, level: u.announced_level() };
+        let recent = u16::try_from(u.hall_recent.latest(now)).unwrap_or(u16::MAX);
+        let count = HallCount { hall, sum: u.hall_sum, recent, tokens: u.announced_level() };
         self.updates.push(Update::HallAdmitted { subject: id, count });
     }
 
@@ -259,14 +259,14 @@
 
     /// Returns a snapshot of a subject's usage, for the log.
     #[must_use]
-    pub fn usage_of(&mut self, id: NameId, now: Time) -> Option<LimitUsage> {
+    pub fn usage(&mut self, id: NameId, now: Time) -> Option<LimitUsage> {
         let u = self.usages.get_mut(&id)?;
         let oldest = u.remote_halls.values().map(|f| now.since(f.heard_at)).max();
         Some(LimitUsage {
             rate: u.limit.rate,
-            level: u.bucket.level,
+            tokens: u.bucket.level,
             hall: u.hall_recent.sum(now),
-            others: u.remote_halls.values().map(|f| u32::from(f.latest)).sum(),
+            other_halls: u.remote_halls.values().map(|f| u32::from(f.recent)).sum(),
             age: oldest,
         })
     }
--- a/crates/honeypulley_policy/src/fleet_limits/hall_count.rs
+++ b/crates/honeypulley_policy/src/fleet_limits/hall_count.rs
@@ -1,11 +1,11 @@
 //! Counts of admissions that data halls exchange.
 
-use super::rule::{RateLimit, Scope};
+use super::rule::{LimitScope, RateLimit};
 use crate::collector::NameId;
 use crate::time::Time;
 use std::time::Duration;
 
-/// Share of the window that [`HallCount::latest`] covers at most.
+/// Share of the window that [`HallCount::recent`] covers at most.
 pub(super) const LATEST_SHARE: f64 = 0.2;
 
 /// Admissions of one subject in one data hall, as announced to the others.
@@ -16,9 +16,9 @@
     /// Cumulative admissions in the hall as counted by the announcing box, modulo 2^16.
     pub sum: u16,
     /// Admissions within the last fifth of the window.
-    pub latest: u16,
+    pub recent: u16,
     /// Remaining tokens of the subject, as estimated by the announcing box.
-    pub level: i16,
+    pub tokens: i16,
 }
 
 impl HallCount {
@@ -26,10 +26,10 @@
     ///
     /// Refills have already compensated for the admissions within that share. The share is
     /// computed over half of the counted time, since the count may cover no more than that.
-    pub(super) fn excess(self, limit: RateLimit, scope: Scope, window: Duration) -> f64 {
+    pub(super) fn excess(self, limit: RateLimit, scope: LimitScope, window: Duration) -> f64 {
         let secs = 0.5 * LATEST_SHARE * window.as_secs_f64();
         let share = limit.rate * secs / scope.halls.max(1) as f64;
-        (f64::from(self.latest) - share).max(0.0)
+        (f64::from(self.recent) - share).max(0.0)
     }
 
     /// Estimates how many of the latest admissions fall within the last `span`.
@@ -37,8 +37,8 @@
     /// Used when the announcing box changes, since the cumulative counts of two boxes can't be
     /// compared.
     pub(super) fn recent_estimate(self, span: Duration, window: Duration) -> f64 {
-        let part = span.as_secs_f64() / (LATEST_SHARE * window.as_secs_f64());
-        f64::from(self.latest) * part.min(1.0)
+        let covered = span.as_secs_f64() / (LATEST_SHARE * window.as_secs_f64());
+        f64::from(self.recent) * covered.min(1.0)
     }
 }
 
@@ -48,6 +48,6 @@
     /// The announcing box; sums of different boxes can't be compared.
     pub(super) announcer: NameId,
     pub(super) sum: u16,
-    pub(super) latest: u16,
+    pub(super) recent: u16,
     pub(super) heard_at: Time,
 }
--- a/crates/honeypulley_policy/src/fleet_limits/rule.rs
+++ b/crates/honeypulley_policy/src/fleet_limits/rule.rs
@@ -29,17 +29,17 @@
 
 /// Number of boxes and data halls that share the limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Scope {
+pub struct LimitScope {
     /// Boxes of the fleet, this one included.
     pub boxes: usize,
     /// Data halls of the fleet.
     pub halls: usize,
     /// Whether this box is isolated from its peers.
-    pub alone: bool,
+    pub isolated: bool,
 }
 
-impl Default for Scope {
+impl Default for LimitScope {
     fn default() -> Self {
-        Self { boxes: 1, halls: 1, alone: false }
+        Self { boxes: 1, halls: 1, isolated: false }
     }
 }
--- a/crates/honeypulley_policy/src/fleet_limits/usage.rs
+++ b/crates/honeypulley_policy/src/fleet_limits/usage.rs
@@ -2,7 +2,7 @@
 
 use super::hall_count::{LATEST_SHARE, RemoteHall};
 use super::recent::SlidingCount;
-use super::rule::{LimitRule, RateLimit, Scope};
+use super::rule::{LimitRule, LimitScope, RateLimit};
 use crate::collector::NameId;
 use crate::time::Time;
 use std::collections::BTreeMap;
@@ -140,7 +140,7 @@
         self.bucket.level.floor() as i16
     }
 
-    pub(super) fn refill(&mut self, scope: Scope, now: Time) {
+    pub(super) fn refill(&mut self, scope: LimitScope, now: Time) {
         let RateLimit { rate, burst } = self.limit;
         self.bucket.refill(rate, burst, now);
         self.own_share.refill(self.own_rate(scope), burst / scope.boxes.max(1) as f64, now);
@@ -150,7 +150,7 @@
     }
 
     /// Returns the rate at which this box may admit requests while it is isolated.
-    pub(super) fn own_rate(&self, scope: Scope) -> f64 {
+    pub(super) fn own_rate(&self, scope: LimitScope) -> f64 {
         let share = if self.near_limit { ISOLATED_SHARE } else { 1.0 };
         self.limit.rate * share / scope.boxes.max(1) as f64
     }
@@ -160,9 +160,9 @@
     /// Peers announce a subject near its limit continuously. The exception are limits so small
     /// that nothing is admitted for a while: if a box took that silence for isolation, it would
     /// admit its own share in addition to what the peers admit.
-    pub(super) fn is_isolated(&self, scope: Scope, now: Time) -> bool {
-        if scope.alone || scope.boxes < 2 || !self.near_limit {
-            return scope.alone;
+    pub(super) fn is_isolated(&self, scope: LimitScope, now: Time) -> bool {
+        if scope.isolated || scope.boxes < 2 || !self.near_limit {
+            return scope.isolated;
         }
         let silence_secs = SILENCE_REQUESTS / self.limit.rate;
         if silence_secs > MAX_SILENCE.as_secs_f64() {
@@ -181,7 +181,12 @@
     }
 
     /// Returns whether an announcement is due, at most once per [`ANNOUNCE_INTERVAL`].
-    pub(super) fn is_announcement_due(&mut self, rule: LimitRule, scope: Scope, now: Time) -> bool {
+    pub(super) fn is_announcement_due(
+        &mut self,
+        rule: LimitRule,
+        scope: LimitScope,
+        now: Time,
+    ) -> bool {
         let is_too_soon = self.due_at.is_some_and(|at| now.since(at) < ANNOUNCE_INTERVAL);
         if scope.halls < 2 || !self.unannounced || is_too_soon {
             return false;
@@ -194,7 +199,7 @@
     }
 
     /// Returns whether this data hall admits enough to affect the others.
-    fn is_near_limit(&mut self, rule: LimitRule, scope: Scope, now: Time) -> bool {
+    fn is_near_limit(&mut self, rule: LimitRule, scope: LimitScope, now: Time) -> bool {
         if self.remote_halls.values().any(|f| now.since(f.heard_at) < REPLY_TIME) {
             return true;
         }
--- a/crates/honeypulley_policy/src/organisations/directory.rs
+++ b/crates/honeypulley_policy/src/organisations/directory.rs
@@ -166,7 +166,7 @@
 
     /// Returns the organisation that holds a key.
     #[must_use]
-    pub fn holder(&self, key: KeyDigest) -> Option<&Organisation> {
+    pub fn find_by_key(&self, key: KeyDigest) -> Option<&Organisation> {
         self.by_key.get(&key).map(|&i| &self.all[i as usize])
     }
 
--- a/crates/honeypulley_policy/src/quarantine.rs
+++ b/crates/honeypulley_policy/src/quarantine.rs
@@ -51,13 +51,13 @@
     /// The request is rejected.
     Held {
         /// Time until it may be sent once, as a trial.
-        left: Duration,
+        remaining: Duration,
     },
 }
 
 /// A crash of an upstream during a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct End {
+pub struct Crash {
     /// The upstream.
     pub upstream: NameId,
     /// When the request was sent to it.
@@ -74,9 +74,9 @@
     /// What the fingerprint covers.
     pub scope: Scope,
     /// Number of crashes during the request that are known to this box.
-    pub ends: usize,
+    pub crashes: usize,
     /// Time until a trial is allowed.
-    pub left: Duration,
+    pub remaining: Duration,
     /// Number of failed trials.
     pub trials: u8,
 }
@@ -85,7 +85,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestUpdate {
     /// An upstream crashed during a request.
-    Ended {
+    Crashed {
         /// The request.
         request: Fingerprint,
         /// What the fingerprint covers.
@@ -93,16 +93,16 @@
         /// The upstream.
         upstream: NameId,
         /// Time since the request was sent to it.
-        began: Duration,
+        since_sent: Duration,
         /// Time since the crash.
-        ended: Duration,
+        since_crash: Duration,
     },
     /// A suspected request succeeded.
     Served {
         /// The request.
         request: Fingerprint,
         /// Time since the success.
-        ago: Duration,
+        age: Duration,
     },
     /// A request is held.
     Held {
@@ -111,7 +111,7 @@
         /// What the fingerprint covers.
         scope: Scope,
         /// Time until a trial is allowed.
-        left: Duration,
+        remaining: Duration,
         /// Number of failed trials.
         trials: u8,
     },
@@ -144,16 +144,16 @@
     }
 
     /// Records that an upstream crashed during a request of this box.
-    pub fn record_crash(&mut self, request: Fingerprints, end: End, now: Time) {
+    pub fn record_crash(&mut self, request: Fingerprints, crash: Crash, now: Time) {
         for (scope, request) in request.each() {
-            self.updates.push(RequestUpdate::Ended {
+            self.updates.push(RequestUpdate::Crashed {
                 request,
                 scope,
-                upstream: end.upstream,
-                began: now.since(end.began),
-                ended: now.since(end.ended),
+                upstream: crash.upstream,
+                since_sent: now.since(crash.began),
+                since_crash: now.since(crash.ended),
             });
-            self.add_crash(request, scope, end, now);
+            self.add_crash(request, scope, crash, now);
         }
     }
 
@@ -168,7 +168,7 @@
     pub fn clear(&mut self, request: Fingerprint, now: Time) -> bool {
         let was_suspected = self.records.get_mut(&request).is_some_and(|r| r.record_success(now));
         if was_suspected {
-            self.updates.push(RequestUpdate::Served { request, ago: Duration::ZERO });
+            self.updates.push(RequestUpdate::Served { request, age: Duration::ZERO });
         }
         was_suspected
     }
@@ -180,27 +180,32 @@
             let Some(hold) = r.hold(f, now) else { continue };
             if now.since(r.announced_at) >= ANNOUNCE_INTERVAL {
                 r.announced_at = now;
-                self.updates.push(hold.news());
+                self.updates.push(hold.to_update());
             }
         }
     }
 
     /// Applies an announcement of a peer.
-    pub fn heard(&mut self, news: RequestUpdate, now: Time) {
-        match news {
-            RequestUpdate::Ended { request, scope, upstream, began, ended } => {
-                let end = End { upstream, began: now.before(began), ended: now.before(ended) };
-                self.add_crash(request, scope, end, now);
+    pub fn apply_update(&mut self, update: RequestUpdate, now: Time) {
+        match update {
+            RequestUpdate::Crashed { request, scope, upstream, since_sent, since_crash } => {
+                let crash = Crash {
+                    upstream,
+                    began: now.before(since_sent),
+                    ended: now.before(since_crash),
+                };
+                self.add_crash(request, scope, crash, now);
             }
-            RequestUpdate::Served { request, ago } => {
+            RequestUpdate::Served { request, age } => {
                 if let Some(r) = self.records.get_mut(&request) {
-                    r.record_success(now.before(ago));
+                    r.record_success(now.before(age));
                 }
             }
-            RequestUpdate::Held { request, scope, left, trials } => {
+            RequestUpdate::Held { request, scope, remaining, trials } => {
                 let r = self.record(request, scope, now);
                 r.announced_at = now;
-                let hold = r.apply_hold(left, trials, now).then(|| r.hold(request, now)).flatten();
+                let hold =
+                    r.apply_hold(remaining, trials, now).then(|| r.hold(request, now)).flatten();
                 self.new_holds.extend(hold);
             }
         }
@@ -210,11 +215,11 @@
     ///
     /// Starts the holds that are due first. Requests with the most failed trials come first, and
     /// at most [`MOST_HELD`] are returned.
-    pub fn held(&mut self, now: Time) -> Vec<Hold> {
+    pub fn active_holds(&mut self, now: Time) -> Vec<Hold> {
         self.start_due_holds(now);
         let mut held: Vec<Hold> =
             self.records.iter().filter_map(|(&f, r)| r.latest_hold(f, now)).collect();
-        held.sort_by_key(|h| std::cmp::Reverse((h.trials, h.left)));
+        held.sort_by_key(|h| std::cmp::Reverse((h.trials, h.remaining)));
         held.truncate(MOST_HELD);
         held
     }
@@ -222,7 +227,7 @@
     /// Starts a hold on each request whose crashes no other request explains.
     fn start_due_holds(&mut self, now: Time) {
         let mut explained = self.explained_crashes();
-        let may_be_due = |r: &Record| !r.is_cause() && r.ends().len() >= r.threshold();
+        let may_be_due = |r: &Record| !r.is_cause() && r.crashes().len() >= r.threshold();
         let suspects: Vec<Fingerprint> =
             self.records.iter().filter(|(_, r)| may_be_due(r)).map(|(&f, _)| f).collect();
         for f in suspects {
@@ -254,9 +259,9 @@
         std::mem::take(&mut self.new_holds)
     }
 
-    fn add_crash(&mut self, request: Fingerprint, scope: Scope, end: End, now: Time) {
+    fn add_crash(&mut self, request: Fingerprint, scope: Scope, crash: Crash, now: Time) {
         let r = self.record(request, scope, now);
-        let hold = r.add(end, now).then(|| r.hold(request, now)).flatten();
+        let hold = r.add(crash, now).then(|| r.hold(request, now)).flatten();
         self.new_holds.extend(hold);
     }
 
@@ -264,7 +269,7 @@
     fn evaluate(
         &mut self,
         f: Fingerprint,
-        explained: &[(Fingerprint, End)],
+        explained: &[(Fingerprint, Crash)],
         now: Time,
     ) -> Restriction {
         let Some(r) = self.records.get(&f) else { return Restriction::Clear };
@@ -280,14 +285,14 @@
         let Some(r) = self.records.get_mut(&f) else { return };
         r.start_hold(now);
         let hold = r.hold(f, now);
-        self.updates.extend(hold.as_ref().map(Hold::news));
+        self.updates.extend(hold.as_ref().map(Hold::to_update));
         self.new_holds.extend(hold);
     }
 
     /// Returns the crashes during requests that were held as their cause.
-    fn explained_crashes(&self) -> Vec<(Fingerprint, End)> {
+    fn explained_crashes(&self) -> Vec<(Fingerprint, Crash)> {
         let explained = self.records.iter().filter(|(_, r)| r.is_cause());
-        explained.flat_map(|(&f, r)| r.ends().iter().map(move |&e| (f, e))).collect()
+        explained.flat_map(|(&f, r)| r.crashes().iter().map(move |&e| (f, e))).collect()
     }
 
     /// Returns whether another suspect shares the last crash and has at least as many crashes.
@@ -295,13 +300,18 @@
     /// Only one of the two causes the crashes. Either the other one is cleared by its next
     /// answer, or the next crash tells them apart. When both were held, one harmless request was
     /// held for every three harmful ones with nine upstreams.
-    fn is_tied(&self, f: Fingerprint, crashes: &[End], explained: &[(Fingerprint, End)]) -> bool {
+    fn is_tied(
+        &self,
+        f: Fingerprint,
+        crashes: &[Crash],
+        explained: &[(Fingerprint, Crash)],
+    ) -> bool {
         let (Some(own), Some(last)) = (self.records.get(&f), crashes.last()) else { return false };
         self.records.iter().any(|(&g, r)| {
             g != f
                 && own.has_same_scope(r)
                 && !r.is_cause()
-                && r.ends().iter().any(|e| e.is_same(last))
+                && r.crashes().iter().any(|e| e.is_same(last))
                 && r.crash_sequence(&explained_by_others(g, explained)).len() >= crashes.len()
         })
     }
@@ -330,15 +340,15 @@
 impl Hold {
     /// Returns an announcement of this hold.
     #[must_use]
-    pub const fn news(&self) -> RequestUpdate {
-        let Self { request, scope, left, trials, .. } = *self;
-        RequestUpdate::Held { request, scope, left, trials }
+    pub const fn to_update(&self) -> RequestUpdate {
+        let Self { request, scope, remaining, trials, .. } = *self;
+        RequestUpdate::Held { request, scope, remaining, trials }
     }
 }
 
 /// Returns the crashes that are explained by held requests other than `f`.
 ///
 /// A request that merely ran concurrently with a held one did not cause these crashes.
-fn explained_by_others(f: Fingerprint, explained: &[(Fingerprint, End)]) -> Vec<End> {
+fn explained_by_others(f: Fingerprint, explained: &[(Fingerprint, Crash)]) -> Vec<Crash> {
     explained.iter().filter(|(g, _)| *g != f).map(|&(_, e)| e).collect()
 }
--- a/crates/honeypulley_policy/src/quarantine/record.rs
+++ b/crates/honeypulley_policy/src/quarantine/record.rs
@@ -1,6 +1,6 @@
 //! Evidence about one suspected request.
 
-use super::{End, Fingerprint, Hold, Restriction, Scope};
+use super::{Crash, Fingerprint, Hold, Restriction, Scope};
 use crate::time::Time;
 use std::time::Duration;
 
@@ -54,7 +54,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Record {
     scope: Scope,
-    ends: Vec<End>,
+    crashes: Vec<Crash>,
     /// Time of the last success.
     last_success: Option<Time>,
     hold: Option<HoldState>,
@@ -70,7 +70,7 @@
     trials: u8,
 }
 
-impl End {
+impl Crash {
     /// Returns whether two boxes reported the same crash.
     pub(super) fn is_same(&self, other: &Self) -> bool {
         self.upstream == other.upstream && distance(self.ended, other.ended) < SAME_CRASH_TIME
@@ -81,7 +81,7 @@
     pub(super) const fn new(scope: Scope, now: Time) -> Self {
         Self {
             scope,
-            ends: Vec::new(),
+            crashes: Vec::new(),
             last_success: None,
             hold: None,
             announced_at: now,
@@ -90,19 +90,19 @@
     }
 
     /// Records a crash; returns whether it is a failed trial, which renews the hold.
-    pub(super) fn add(&mut self, end: End, now: Time) -> bool {
-        let is_cleared = self.last_success.is_some_and(|at| end.ended <= at);
-        if is_cleared || self.ends.iter().any(|e| e.is_same(&end)) {
+    pub(super) fn add(&mut self, crash: Crash, now: Time) -> bool {
+        let is_cleared = self.last_success.is_some_and(|at| crash.ended <= at);
+        if is_cleared || self.crashes.iter().any(|e| e.is_same(&crash)) {
             return false;
         }
         self.updated_at = now;
-        self.ends.push(end);
-        self.ends.sort_by_key(|e| e.ended);
-        if self.ends.len() > MAX_CRASHES {
-            self.ends.remove(0);
+        self.crashes.push(crash);
+        self.crashes.sort_by_key(|e| e.ended);
+        if self.crashes.len() > MAX_CRASHES {
+            self.crashes.remove(0);
         }
         // A request sent before the hold was known on all boxes is not a trial.
-        let Some(h) = self.hold.filter(|h| end.began >= h.until) else { return false };
+        let Some(h) = self.hold.filter(|h| crash.began >= h.until) else { return false };
         let trials = h.trials.saturating_add(1);
         self.hold = Some(HoldState { until: now + hold_duration(trials), trials });
         true
@@ -111,18 +111,18 @@
     /// Records a success; returns whether the request was suspected until then.
     pub(super) fn record_success(&mut self, at: Time) -> bool {
         self.last_success = self.last_success.max(Some(at));
-        let before = self.ends.len();
-        self.ends.retain(|e| e.ended > at);
+        let before = self.crashes.len();
+        self.crashes.retain(|e| e.ended > at);
         let was_held = self.hold.take().is_some();
-        was_held || self.ends.len() < before
+        was_held || self.crashes.len() < before
     }
 
     /// Applies a hold; returns whether it supersedes the known one.
-    pub(super) fn apply_hold(&mut self, left: Duration, trials: u8, now: Time) -> bool {
+    pub(super) fn apply_hold(&mut self, remaining: Duration, trials: u8, now: Time) -> bool {
         let supersedes = self.hold.is_none_or(|h| trials > h.trials);
         if supersedes {
             self.updated_at = now;
-            self.hold = Some(HoldState { until: now + left, trials });
+            self.hold = Some(HoldState { until: now + remaining, trials });
         }
         supersedes
     }
@@ -134,8 +134,12 @@
     /// Returns the restriction that follows from a number of consecutive crashes.
     pub(super) fn restriction(&self, crashes: usize, now: Time) -> Restriction {
         if let Some(h) = self.hold {
-            let left = h.until.since(now);
-            return if left.is_zero() { Restriction::NoRetry } else { Restriction::Held { left } };
+            let remaining = h.until.since(now);
+            return if remaining.is_zero() {
+                Restriction::NoRetry
+            } else {
+                Restriction::Held { remaining }
+            };
         }
         match crashes {
             0 => Restriction::Clear,
@@ -146,22 +150,28 @@
 
     /// Returns the hold in force.
     pub(super) fn hold(&self, request: Fingerprint, now: Time) -> Option<Hold> {
-        self.latest_hold(request, now).filter(|h| !h.left.is_zero())
+        self.latest_hold(request, now).filter(|h| !h.remaining.is_zero())
     }
 
     /// Returns the hold in force, or the last one if it has expired.
     pub(super) fn latest_hold(&self, request: Fingerprint, now: Time) -> Option<Hold> {
         let h = self.hold?;
-        let left = h.until.since(now);
-        Some(Hold { request, scope: self.scope, ends: self.ends.len(), left, trials: h.trials })
+        let remaining = h.until.since(now);
+        Some(Hold {
+            request,
+            scope: self.scope,
+            crashes: self.crashes.len(),
+            remaining,
+            trials: h.trials,
+        })
     }
 
     pub(super) const fn is_cause(&self) -> bool {
         self.hold.is_some()
     }
 
-    pub(super) fn ends(&self) -> &[End] {
-        &self.ends
+    pub(super) fn crashes(&self) -> &[Crash] {
+        &self.crashes
     }
 
     pub(super) fn has_same_scope(&self, other: &Self) -> bool {
@@ -190,7 +200,7 @@
     }
 
     /// Returns whether the crashes justify a hold and all boxes have announced them.
-    pub(super) fn is_due(&self, crashes: &[End], now: Time) -> bool {
+    pub(super) fn is_due(&self, crashes: &[Crash], now: Time) -> bool {
         let is_settled = crashes.last().is_some_and(|e| now.since(e.ended) >= SETTLE_TIME);
         self.hold.is_none() && crashes.len() >= self.threshold() && is_settled
     }
@@ -200,9 +210,9 @@
     /// If many upstreams are lost at once, this is no stronger evidence against a request than a
     /// single crash. A crash therefore counts only if the request was sent to that upstream after
     /// the crash before it.
-    pub(super) fn crash_sequence(&self, explained: &[End]) -> Vec<End> {
-        let mut crashes: Vec<End> = Vec::new();
-        for e in self.ends.iter().filter(|e| !explained.iter().any(|x| x.is_same(e))) {
+    pub(super) fn crash_sequence(&self, explained: &[Crash]) -> Vec<Crash> {
+        let mut crashes: Vec<Crash> = Vec::new();
+        for e in self.crashes.iter().filter(|e| !explained.iter().any(|x| x.is_same(e))) {
             if crashes.last().is_none_or(|l| e.began + ORDER_SLACK >= l.ended) {
                 crashes.push(*e);
             }
--- a/crates/honeypulley_policy/tests/limits/alone.rs
+++ b/crates/honeypulley_policy/tests/limits/alone.rs
@@ -2,7 +2,7 @@
 
 use honeypulley_policy::balance::RetryHistory;
 use honeypulley_policy::collector::NameId;
-use honeypulley_policy::fleet_limits::{FleetRateLimiter, LimitRule, RateLimit, Scope};
+use honeypulley_policy::fleet_limits::{FleetRateLimiter, LimitRule, LimitScope, RateLimit};
 use honeypulley_policy::time::Time;
 
 /// Guards against a `Retry-After` that is too short on an isolated box.
@@ -14,11 +14,11 @@
     let id = NameId::of("acme");
     let mut limits =
         FleetRateLimiter::new("h", LimitRule::default(), RetryHistory::Empty, 1, Time::ZERO);
-    limits.set_limits([(id, RateLimit { rate: 10.0, burst: 10.0 })]);
-    limits.set_scope(Scope { boxes: 10, halls: 1, alone: false });
+    limits.replace_limits([(id, RateLimit { rate: 10.0, burst: 10.0 })]);
+    limits.set_scope(LimitScope { boxes: 10, halls: 1, isolated: false });
     let mut now = Time::ZERO;
     while limits.admit(id, now).is_ok() {}
-    limits.set_scope(Scope { boxes: 10, halls: 1, alone: true });
+    limits.set_scope(LimitScope { boxes: 10, halls: 1, isolated: true });
     for _ in 0..20 {
         if let Err(wait) = limits.admit(id, now) {
             now = now + wait;
--- a/crates/honeypulley_policy/tests/limits/ways.rs
+++ b/crates/honeypulley_policy/tests/limits/ways.rs
@@ -3,7 +3,7 @@
 use crate::fleet::{BoxId, Fleet, Message};
 use honeypulley_policy::balance::{RetryHistory, Update};
 use honeypulley_policy::collector::NameId;
-use honeypulley_policy::fleet_limits::{FleetRateLimiter, LimitRule, RateLimit, Scope};
+use honeypulley_policy::fleet_limits::{FleetRateLimiter, LimitRule, LimitScope, RateLimit};
 use honeypulley_policy::placement::weight;
 use honeypulley_policy::time::Time;
 use std::time::Duration;
@@ -44,19 +44,23 @@
             this_box.0 as u64,
             now,
         );
-        limits.set_limits([(organisation(), limit)]);
+        limits.replace_limits([(organisation(), limit)]);
         Self { this_box, limits }
     }
 
     fn set_scope(&mut self, fleet: &Fleet, now: Time) {
-        let alone = fleet.is_isolated(self.this_box, now);
-        self.limits.set_scope(Scope { boxes: fleet.boxes(), halls: fleet.halls(), alone });
+        let isolated = fleet.is_isolated(self.this_box, now);
+        self.limits.set_scope(LimitScope {
+            boxes: fleet.boxes(),
+            halls: fleet.halls(),
+            isolated: isolated,
+        });
     }
 
     fn announce(&mut self, fleet: &Fleet, now: Time, out: &mut Vec<Message>) {
-        for id in self.limits.due(now) {
+        for id in self.limits.due_updates(now) {
             if let Some(rank) = fleet.announcer_rank(self.this_box, now) {
-                self.limits.tell(id, rank, now);
+                self.limits.announce(id, rank, now);
             }
         }
         for news in self.limits.take_updates() {
@@ -93,7 +97,7 @@
     }
 
     fn set(&mut self, limit: RateLimit) {
-        self.limits.set_limits([(organisation(), limit)]);
+        self.limits.replace_limits([(organisation(), limit)]);
     }
 }
 
@@ -265,16 +269,16 @@
             this_box.0 as u64,
             now,
         );
-        limits.set_limits([(organisation(), share.limit())]);
+        limits.replace_limits([(organisation(), share.limit())]);
         Self { this_box, share, limits }
     }
 
     fn set_scope(&mut self, fleet: &Fleet, now: Time) {
         let boxes = fleet.boxes() / fleet.halls();
-        self.limits.set_scope(Scope {
+        self.limits.set_scope(LimitScope {
             boxes,
             halls: 1,
-            alone: fleet.is_isolated(self.this_box, now),
+            isolated: fleet.is_isolated(self.this_box, now),
         });
     }
 }
@@ -305,7 +309,7 @@
 
     fn set(&mut self, limit: RateLimit) {
         self.share.limit = limit;
-        self.limits.set_limits([(organisation(), self.share.limit())]);
+        self.limits.replace_limits([(organisation(), self.share.limit())]);
     }
 }
 
--- a/crates/honeypulley_policy/tests/quarantine/fleet.rs
+++ b/crates/honeypulley_policy/tests/quarantine/fleet.rs
@@ -5,7 +5,7 @@
 //! forever, on any box. Some announcements between boxes are lost.
 
 use honeypulley_policy::collector::NameId;
-use honeypulley_policy::quarantine::{End, Fingerprint, Fingerprints, Quarantine, Restriction};
+use honeypulley_policy::quarantine::{Crash, Fingerprint, Fingerprints, Quarantine, Restriction};
 use honeypulley_policy::time::Time;
 use rstest::rstest;
 use std::collections::BTreeSet;
@@ -195,8 +195,11 @@
             self.in_flight.iter().partition(|o| o.upstream == upstream);
         self.in_flight = in_flight;
         for o in lost {
-            let end =
-                End { upstream: NameId(upstream as u64), began: time(o.began), ended: time(step) };
+            let end = Crash {
+                upstream: NameId(upstream as u64),
+                began: time(o.began),
+                ended: time(step),
+            };
             let now = time(step);
             self.boxes[o.at_box].record_crash(request(o.number), end, now);
             let restriction = self.boxes[o.at_box].restriction(request(o.number), now);
@@ -215,7 +218,7 @@
         for news in self.boxes[from].take_updates() {
             for (i, b) in self.boxes.iter_mut().enumerate() {
                 if i != from && self.rng.f64() >= self.params.loss_rate {
-                    b.heard(news, now);
+                    b.apply_update(news, now);
                 }
             }
         }
--- a/crates/honeypulley_policy/tests/quarantine/main.rs
+++ b/crates/honeypulley_policy/tests/quarantine/main.rs
@@ -4,7 +4,7 @@
 
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::quarantine::{
-    End, Fingerprint, Fingerprints, MOST_RECORDS, Quarantine, RequestUpdate, Restriction, Scope,
+    Crash, Fingerprint, Fingerprints, MOST_RECORDS, Quarantine, RequestUpdate, Restriction, Scope,
 };
 use honeypulley_policy::time::Time;
 use std::time::Duration;
@@ -16,8 +16,8 @@
 }
 
 /// Returns a crash of upstream `n` at `ms`, 60 ms after the request was sent.
-fn crash(n: u64, ms: u64) -> End {
-    End { upstream: NameId(n), began: at(ms - 60), ended: at(ms) }
+fn crash(n: u64, ms: u64) -> Crash {
+    Crash { upstream: NameId(n), began: at(ms - 60), ended: at(ms) }
 }
 
 /// Returns a box that has recorded `ends` crashes during the bad request, 1 s apart.
@@ -75,12 +75,12 @@
     local.record_success(BAD, at(3_000));
     assert_eq!(local.restriction(BAD, at(3_000)), Restriction::Clear);
     for news in local.take_updates() {
-        remote.heard(news, at(3_010));
+        remote.apply_update(news, at(3_010));
     }
     assert_eq!(remote.restriction(BAD, at(3_010)), Restriction::Clear);
     // Delayed announcements from before the success are ignored.
     for news in with_crashes(2).take_updates() {
-        remote.heard(news, at(3_020));
+        remote.apply_update(news, at(3_020));
     }
     assert_eq!(
         remote.restriction(BAD, at(3_020)),
@@ -99,16 +99,16 @@
 
 #[test]
 fn reordered_announcements_lead_to_a_hold() {
-    let announced = |n: u64| RequestUpdate::Ended {
+    let announced = |n: u64| RequestUpdate::Crashed {
         request: BAD.caller,
         scope: Scope::Caller,
         upstream: NameId(n),
-        began: Duration::from_millis(10_060 - n * 1_000),
-        ended: Duration::from_millis(10_000 - n * 1_000),
+        since_sent: Duration::from_millis(10_060 - n * 1_000),
+        since_crash: Duration::from_millis(10_000 - n * 1_000),
     };
     for order in [[1, 2, 3], [3, 2, 1], [2, 3, 1], [3, 1, 2]] {
         let mut q = Quarantine::default();
-        order.iter().for_each(|&n| q.heard(announced(n), at(20_000)));
+        order.iter().for_each(|&n| q.apply_update(announced(n), at(20_000)));
         assert!(is_held(&mut q, at(20_000)), "{order:?}");
     }
 }
@@ -119,15 +119,15 @@
     let mut now = at(3_000) + SETTLE_TIME;
     let mut holds = Vec::new();
     for n in 1..=4 {
-        let Restriction::Held { left } = q.restriction(BAD, now) else {
+        let Restriction::Held { remaining } = q.restriction(BAD, now) else {
             panic!("hold {n} is not in force")
         };
-        holds.push(left.as_secs() / 60);
-        now = now + left + Duration::from_secs(1);
+        holds.push(remaining.as_secs() / 60);
+        now = now + remaining + Duration::from_secs(1);
         assert_eq!(q.restriction(BAD, now), Restriction::NoRetry);
         let began = now;
         now = now + Duration::from_millis(60);
-        q.record_crash(BAD, End { upstream: NameId(90 + n), began, ended: now }, now);
+        q.record_crash(BAD, Crash { upstream: NameId(90 + n), began, ended: now }, now);
     }
     assert_eq!(holds, [10, 20, 40, 24 * 60], "holds double for three trials, then last a day");
 }
@@ -139,15 +139,19 @@
     let now = at(3_000) + Duration::from_secs(700);
     q.record_success(BAD, now);
     assert_eq!(q.restriction(BAD, now), Restriction::Clear);
-    assert!(q.held(now).is_empty());
+    assert!(q.active_holds(now).is_empty());
 }
 
 #[test]
 fn a_crash_of_a_request_sent_before_the_hold_is_no_failed_trial() {
     let mut q = with_crashes(3);
     assert!(is_held(&mut q, at(3_100)));
-    q.record_crash(BAD, End { upstream: NameId(9), began: at(2_990), ended: at(5_000) }, at(5_000));
-    assert_eq!(q.held(at(5_000))[0].trials, 0);
+    q.record_crash(
+        BAD,
+        Crash { upstream: NameId(9), began: at(2_990), ended: at(5_000) },
+        at(5_000),
+    );
+    assert_eq!(q.active_holds(at(5_000))[0].trials, 0);
 }
 
 #[test]
@@ -186,7 +190,7 @@
         matches!(announced[..], [RequestUpdate::Held { request, .. }] if request == BAD.caller)
     );
     let mut new_box = Quarantine::default();
-    new_box.heard(announced[0], at(50));
+    new_box.apply_update(announced[0], at(50));
     assert!(is_held(&mut new_box, at(60)));
 }
 
@@ -245,6 +249,6 @@
     let mut q = with_crashes(2);
     let later = at(2_000) + Duration::from_secs(3_600);
     let other = Fingerprints { caller: Fingerprint(8), content: Fingerprint(9) };
-    q.record_crash(other, End { upstream: NameId(1), began: later, ended: later }, later);
+    q.record_crash(other, Crash { upstream: NameId(1), began: later, ended: later }, later);
     assert_eq!(q.len(), 2, "only the new request's two records remain");
 }
--- a/crates/honeypulley_proxy/benches/fingerprint.rs
+++ b/crates/honeypulley_proxy/benches/fingerprint.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::quarantine::{
-    End, Fingerprint, Fingerprints, MOST_RECORDS, Quarantine, Restriction,
+    Crash, Fingerprint, Fingerprints, MOST_RECORDS, Quarantine, Restriction,
 };
 use honeypulley_policy::time::Time;
 use honeypulley_proxy::body::{MAX_BUFFERED, Source};
@@ -36,7 +36,7 @@
     for n in 0..MOST_RECORDS as u64 / 2 {
         let request = Fingerprints { caller: Fingerprint(2 * n), content: Fingerprint(2 * n + 1) };
         let ended = Time::from_millis(n);
-        q.record_crash(request, End { upstream: NameId(n), began: Time::ZERO, ended }, ended);
+        q.record_crash(request, Crash { upstream: NameId(n), began: Time::ZERO, ended }, ended);
     }
     q
 }
@@ -65,7 +65,7 @@
     });
     println!("standing: {took} ns beside {} suspects", q.len());
     let took = median_ns(|| {
-        black_box(q.held(now + Duration::from_secs(1)));
+        black_box(q.active_holds(now + Duration::from_secs(1)));
     });
     println!("all holds: {took} ns of {} suspects", q.len());
 }
--- a/crates/honeypulley_proxy/src/attempt.rs
+++ b/crates/honeypulley_proxy/src/attempt.rs
@@ -6,7 +6,7 @@
 use crate::signals::{self, ReceivedHead};
 use bytes::{Bytes, BytesMut};
 use honeypulley_policy::collector::NameId;
-use honeypulley_policy::quarantine::{End, Fingerprints};
+use honeypulley_policy::quarantine::{Crash, Fingerprints};
 use honeypulley_policy::router::{AttemptKey, Outcome, Pick, UpstreamKey};
 use honeypulley_policy::time::Time;
 use http::{HeaderMap, HeaderValue, Method, StatusCode, Version, header};
@@ -199,8 +199,8 @@
     );
     if has_ended {
         let now = gate.now();
-        let end = End { upstream: NameId::of(name), began, ended: now };
-        gate.suspects.record_crash(out.same, end, now);
+        let crash = Crash { upstream: NameId::of(name), began, ended: now };
+        gate.suspects.record_crash(out.same, crash, now);
     }
 }
 
--- a/crates/honeypulley_proxy/src/handler.rs
+++ b/crates/honeypulley_proxy/src/handler.rs
@@ -103,17 +103,17 @@
     /// Rejects a request that is held because it crashes upstreams.
     fn check_hold(&self, id: &str, same: Fingerprints) -> Result<(), OwnAnswer> {
         let now = self.gate.now();
-        let Restriction::Held { left } = self.gate.suspects.restriction(same, now) else {
+        let Restriction::Held { remaining } = self.gate.suspects.restriction(same, now) else {
             return Ok(());
         };
         self.gate.suspects.record_rejection(same, now);
         self.gate.count("requests.held");
         log::warn!(
             request = id, same:display = same.caller, content:display = same.content,
-            left_ms = left.as_millis() as u64;
+            left_ms = remaining.as_millis() as u64;
             "route: refused, upstreams crashed during this request"
         );
-        let wait = left.mul_f64(1.0 + fastrand::f64() / 10.0);
+        let wait = remaining.mul_f64(1.0 + fastrand::f64() / 10.0);
         let why = "upstreams ended while they ran this request, so it is not sent on".to_owned();
         Err(OwnAnswer::not_run(StatusCode::SERVICE_UNAVAILABLE, Some(wait), why))
     }
--- a/crates/honeypulley_proxy/src/race.rs
+++ b/crates/honeypulley_proxy/src/race.rs
@@ -9,7 +9,7 @@
 use honeypulley_policy::balance::RetryReason;
 use honeypulley_policy::chooser::RequestInfo;
 use honeypulley_policy::collector::NameId;
-use honeypulley_policy::quarantine::{End, Restriction};
+use honeypulley_policy::quarantine::{Crash, Restriction};
 use honeypulley_policy::router::{AttemptKey, Refusal, UpstreamKey};
 use honeypulley_policy::time::Time;
 use http::StatusCode;
@@ -237,8 +237,8 @@
         drop(policy);
         let now = self.gate.now();
         for a in lost {
-            let end = End { upstream: a.name, began: a.began, ended: now };
-            self.gate.suspects.record_crash(self.out.same, end, now);
+            let crash = Crash { upstream: a.name, began: a.began, ended: now };
+            self.gate.suspects.record_crash(self.out.same, crash, now);
             a.abort.abort();
         }
     }
--- a/crates/honeypulley_proxy/src/suspects.rs
+++ b/crates/honeypulley_proxy/src/suspects.rs
@@ -1,7 +1,7 @@
 //! Interface between the serving path and the request quarantine.
 
 use honeypulley_policy::quarantine::{
-    End, Fingerprint, Fingerprints, Hold, Quarantine, Restriction,
+    Crash, Fingerprint, Fingerprints, Hold, Quarantine, Restriction,
 };
 use honeypulley_policy::time::Time;
 use parking_lot::Mutex;
@@ -20,8 +20,8 @@
     }
 
     /// Records that an upstream crashed during a request.
-    fn record_crash(&self, request: Fingerprints, end: End, now: Time) {
-        self.update(&mut |q| q.record_crash(request, end, now));
+    fn record_crash(&self, request: Fingerprints, crash: Crash, now: Time) {
+        self.update(&mut |q| q.record_crash(request, crash, now));
     }
 
     /// Records that a request succeeded.
@@ -37,7 +37,7 @@
     /// Returns the requests that are held.
     fn held(&self, now: Time) -> Vec<Hold> {
         let mut held = Vec::new();
-        self.update(&mut |q| held = q.held(now));
+        self.update(&mut |q| held = q.active_holds(now));
         held
     }
 
@@ -65,10 +65,10 @@
 
 /// Logs that a request is held, with the evidence.
 pub fn log_hold(h: &Hold) {
-    let left_ms = h.left.as_millis() as u64;
+    let left_ms = h.remaining.as_millis() as u64;
     log::warn!(
-        same:display = h.request, scope:debug = h.scope, ends = h.ends, trials = h.trials, left_ms;
+        same:display = h.request, scope:debug = h.scope, ends = h.crashes, trials = h.trials, left_ms;
         "quarantine: request {} is held, this box knows of {} crashes of upstreams during it",
-        h.request, h.ends
+        h.request, h.crashes
     );
 }
