--- a/crates/honeypulley/examples/failing.rs
+++ b/crates/honeypulley/examples/failing.rs
@@ -33,17 +33,17 @@
         let b = &mut boxes[step % BOXES];
         let service = b.service("guestlist").expect("the service was set above");
         let pick = b.pick(service, true, &[], now)?;
-        let (name, _) = b.upstream(pick.upstream).expect("the upstream was just picked");
+        let (name, _) = b.endpoint(pick.upstream).expect("the upstream was just picked");
         let fails = failing && name == FAILING;
         if failing {
             *requests.entry(name.to_owned()).or_default() += 1;
         }
         // The upstream answers after 40 ms of simulated time.
         let end = now + Duration::from_millis(40);
-        b.answered(pick.attempt, !fails, end);
-        b.finish(pick.attempt, Outcome::Whole, end);
+        b.response_started(pick.attempt, !fails, end);
+        b.finish(pick.attempt, Outcome::Completed, end);
         let reports: Vec<Report> = boxes.iter_mut().flat_map(|b| b.tick(now)).collect();
-        for v in reports.iter().flat_map(|r| collector.report(r, now)) {
+        for v in reports.iter().flat_map(|r| collector.apply_report(r, now)) {
             println!(
                 "{:.3} s: {FAILING} is {:?}, reported by {} boxes",
                 now.as_secs(),
@@ -51,7 +51,7 @@
                 v.witnesses
             );
             for b in &mut boxes {
-                b.set_verdict(&v, now);
+                b.apply_verdict(&v, now);
             }
         }
     }
--- a/crates/honeypulley_daemon/src/collect.rs
+++ b/crates/honeypulley_daemon/src/collect.rs
@@ -5,7 +5,7 @@
 use honeypulley_bundle::head::Version;
 use honeypulley_platform::roster::Roster;
 use honeypulley_policy::collector::{Collector, Judgement, NameId, Verdict};
-use honeypulley_policy::permits::Hold;
+use honeypulley_policy::permits::PermitState;
 use honeypulley_policy::placement;
 use honeypulley_policy::revision::Revision;
 use honeypulley_policy::spec::MemberState;
@@ -82,7 +82,7 @@
             tokio::select! {
                 report = self.ctx.reports_in.recv() => {
                     if let Some(state) = services.get_mut(&report.service) {
-                        let verdicts = state.collector.report(&report, self.ctx.now());
+                        let verdicts = state.collector.apply_report(&report, self.ctx.now());
                         verdicts.iter().for_each(|v| self.publish(state, v));
                     }
                 }
@@ -164,7 +164,7 @@
             // Permits that a previous collector requested are taken over.
             let record = permits.view.records.get(&spec.name);
             for (name, entry) in record.iter().flat_map(|r| &r.entries) {
-                if entry.hold != Hold::Cooling {
+                if entry.hold != PermitState::Cooling {
                     state.collector.adopt(NameId::of(name), self.ctx.now());
                 }
             }
--- a/crates/honeypulley_daemon/src/context.rs
+++ b/crates/honeypulley_daemon/src/context.rs
@@ -266,27 +266,30 @@
         let Some(roster) = self.roster() else { return Vec::new() };
         let hall = &self.settings.hall;
         let names = roster.live_boxes().filter(|b| b.hall == *hall).map(|b| b.name.as_str());
-        placement::top(Role::Relay, hall, names, RELAYS).into_iter().map(str::to_owned).collect()
+        placement::highest_weighted(Role::Relay, hall, names, RELAYS)
+            .into_iter()
+            .map(str::to_owned)
+            .collect()
     }
 
     /// Records the bundle version that the platform reported.
     pub fn record_platform_version(&self, v: Version) {
         self.record_contact();
-        self.join.lock().platform_told(v.0);
+        self.join.lock().record_platform_version(v.0);
         self.try_join();
     }
 
     /// Records the bundle version that a peer reported.
     pub fn record_peer_version(&self, peer: NameId, v: Version) {
         self.record_contact();
-        self.join.lock().peer_told(peer, v.0);
+        self.join.lock().record_peer_version(peer, v.0);
         self.try_join();
     }
 
     /// Returns whether this box has joined and may serve its bundle.
     #[must_use]
     pub fn is_joined(&self) -> bool {
-        self.join.lock().is_done()
+        self.join.lock().has_joined()
     }
 
     /// Puts the accepted bundle in force once [`Join`] allows it.
@@ -297,7 +300,9 @@
         let Some(bundle) = self.bundle() else { return };
         let boxes = self.roster().map_or(0, |r| r.live_boxes().count());
         let version = bundle.head.version;
-        let Some(by) = self.join.lock().decide(version.0, boxes.saturating_sub(1)) else { return };
+        let Some(by) = self.join.lock().try_join(version.0, boxes.saturating_sub(1)) else {
+            return;
+        };
         log::info!(bundle = version.0; "join: starting with {version}, confirmed by {by:?}");
         self.shared.feed.bundles.push(bundle);
     }
--- a/crates/honeypulley_daemon/src/permit.rs
+++ b/crates/honeypulley_daemon/src/permit.rs
@@ -4,7 +4,7 @@
 use eyre::Result;
 use honeypulley_platform::api::Platform;
 use honeypulley_platform::permits::{ChangeError, PermitChange, change};
-use honeypulley_policy::permits::{FloorContext, Hold, LEASE, MARGIN};
+use honeypulley_policy::permits::{CLOCK_MARGIN, FloorContext, LEASE, PermitState};
 use honeypulley_policy::placement;
 use honeypulley_policy::spec::MemberState;
 use honeypulley_policy::time::Time;
@@ -150,10 +150,10 @@
             }
             for (upstream, e) in record.entries {
                 let listed = roster.service(&service).any(|m| m.name == upstream);
-                if e.hold == Hold::Cooling {
+                if e.hold == PermitState::Cooling {
                     let key = (service.clone(), upstream, e.serial);
                     let first = seen.get(&key).copied().unwrap_or(now);
-                    if now.since(first) >= LEASE + MARGIN {
+                    if now.since(first) >= LEASE + CLOCK_MARGIN {
                         due.push((key.clone(), now.since(first)));
                     }
                     present.insert(key, first);
--- a/crates/honeypulley_daemon/src/status.rs
+++ b/crates/honeypulley_daemon/src/status.rs
@@ -65,7 +65,7 @@
         reason: r.reason.clone(),
         good: r.evidence.counts.0.round() as u64,
         bad: r.evidence.counts.1.round() as u64,
-        out: r.out,
+        out: r.in_flight,
     };
     BoxStatus {
         name: ctx.settings.name.clone(),
--- a/crates/honeypulley_mesh/src/doubts.rs
+++ b/crates/honeypulley_mesh/src/doubts.rs
@@ -33,7 +33,7 @@
     ///
     /// Returns whether a line was written.
     pub fn log(&mut self, from: NameId, d: &Suspicion, now: Time) -> bool {
-        if self.quota.take(BURST, now).is_err() {
+        if self.quota.try_acquire(BURST, now).is_err() {
             self.left_out += 1;
             return false;
         }
--- a/crates/honeypulley_mesh/src/serving.rs
+++ b/crates/honeypulley_mesh/src/serving.rs
@@ -100,17 +100,17 @@
 impl RoutingPolicy for BroadcastBalancer {
     fn pick(
         &mut self,
-        ask: &RequestInfo,
+        info: &RequestInfo,
         tried: &[UpstreamKey],
         now: Time,
     ) -> Result<Pick, Refusal> {
-        let picked = self.balancer.pick(ask, tried, now);
+        let picked = self.balancer.pick(info, tried, now);
         self.announce();
         picked
     }
 
-    fn place(&self, k: UpstreamKey) -> Option<Endpoint<'_>> {
-        self.balancer.place(k)
+    fn endpoint(&self, k: UpstreamKey) -> Option<Endpoint<'_>> {
+        self.balancer.endpoint(k)
     }
 
     fn has_restarted(&self, k: UpstreamKey) -> bool {
@@ -121,34 +121,34 @@
         PickInputs { list: self.mesh.list_status(), ..self.balancer.inputs(k, now) }
     }
 
-    fn expected(&self, ask: &RequestInfo, now: Time) -> Option<Duration> {
-        self.balancer.expected(ask, now)
+    fn expected_latency(&self, info: &RequestInfo, now: Time) -> Option<Duration> {
+        self.balancer.expected_latency(info, now)
     }
 
-    fn recheck_delay(&self, ask: &RequestInfo, age: Duration) -> Duration {
-        self.balancer.recheck_delay(ask, age)
+    fn recheck_delay(&self, info: &RequestInfo, age: Duration) -> Duration {
+        self.balancer.recheck_delay(info, age)
     }
 
-    fn is_in_flight(&mut self, k: AttemptKey, now: Time) {
-        self.balancer.is_in_flight(k, now);
+    fn record_in_flight(&mut self, k: AttemptKey, now: Time) {
+        self.balancer.record_in_flight(k, now);
         self.announce();
     }
 
-    fn hedge(&self, ask: &RequestInfo, k: AttemptKey, now: Time) -> Option<f64> {
-        self.balancer.hedge(ask, k, now)
+    fn hedge_value(&self, info: &RequestInfo, k: AttemptKey, now: Time) -> Option<f64> {
+        self.balancer.hedge_value(info, k, now)
     }
 
-    fn can_meet_deadline(&self, ask: &RequestInfo) -> bool {
-        self.balancer.can_meet_deadline(ask)
+    fn can_meet_deadline(&self, info: &RequestInfo) -> bool {
+        self.balancer.can_meet_deadline(info)
     }
 
     fn check_available(
         &mut self,
-        ask: &RequestInfo,
+        info: &RequestInfo,
         tried: &[UpstreamKey],
         now: Time,
     ) -> Result<(), Refusal> {
-        self.balancer.check_available(ask, tried, now)
+        self.balancer.check_available(info, tried, now)
     }
 
     fn spend_retry(&mut self, k: ServiceKey, why: RetryReason, now: Time) -> bool {
@@ -161,17 +161,17 @@
         self.balancer.budget_use(k, now)
     }
 
-    fn answered(&mut self, k: AttemptKey, ok: bool, now: Time) {
-        self.balancer.answered(k, ok, now);
+    fn response_started(&mut self, k: AttemptKey, ok: bool, now: Time) {
+        self.balancer.response_started(k, ok, now);
         self.announce();
     }
 
-    fn sized(&mut self, k: AttemptKey, bytes: u64) {
-        self.balancer.sized(k, bytes);
+    fn record_size(&mut self, k: AttemptKey, bytes: u64) {
+        self.balancer.record_size(k, bytes);
     }
 
-    fn signalled(&mut self, k: AttemptKey, s: &Signals, now: Time) -> SignalChanges {
-        let changes = self.balancer.signalled(k, s, now);
+    fn record_signals(&mut self, k: AttemptKey, s: &Signals, now: Time) -> SignalChanges {
+        let changes = self.balancer.record_signals(k, s, now);
         self.announce();
         changes
     }
@@ -233,13 +233,13 @@
         };
         Ok(Routed {
             belongs,
-            ask: RequestInfo {
+            info: RequestInfo {
                 service,
                 repeatable: route.kind.is_repeatable(),
                 priority,
                 large_response: route.kind == RequestKind::Download,
-                aim: route.aim,
-                left: None,
+                target: route.target,
+                remaining: None,
                 route: NameId::of(&route.name),
             },
             service: name.to_owned(),
--- a/crates/honeypulley_observe/src/logs.rs
+++ b/crates/honeypulley_observe/src/logs.rs
@@ -147,7 +147,7 @@
             let mut limits = self.limits.lock();
             let failure = record.level() >= Level::Warn;
             let limit = if failure { &mut limits.1 } else { &mut limits.0 };
-            limit.take(BURST, now).is_ok()
+            limit.try_acquire(BURST, now).is_ok()
         };
         if !admitted {
             self.shared.left_out.rate.fetch_add(1, Ordering::Relaxed);
--- a/crates/honeypulley_peer/src/codec.rs
+++ b/crates/honeypulley_peer/src/codec.rs
@@ -292,8 +292,8 @@
             Ok(wire::Report(r)) => {
                 let items = r.get_items()?.iter().take(MAX_ITEMS).map(|i| ReportItem {
                     upstream: NameId(i.get_upstream()),
-                    good: i.get_good(),
-                    bad: i.get_bad(),
+                    successes: i.get_good(),
+                    failures: i.get_bad(),
                 });
                 Self::Report { service: NameId(r.get_report_service()), items: items.collect() }
             }
@@ -356,8 +356,8 @@
     for (i, item) in items.iter().enumerate() {
         let mut row = list.reborrow().get(i as u32);
         row.set_upstream(item.upstream.0);
-        row.set_good(item.good);
-        row.set_bad(item.bad);
+        row.set_good(item.successes);
+        row.set_bad(item.failures);
     }
 }
 
--- a/crates/honeypulley_peer/tests/wire.rs
+++ b/crates/honeypulley_peer/tests/wire.rs
@@ -53,8 +53,8 @@
 fn body() -> impl Strategy<Value = Body> {
     let item = (any::<u64>(), any::<u16>(), any::<u16>()).prop_map(|(u, good, bad)| ReportItem {
         upstream: NameId(u),
-        good,
-        bad,
+        successes: good,
+        failures: bad,
     });
     let judgement =
         prop_oneof![Just(Judgement::Suspect), Just(Judgement::Probation), Just(Judgement::Clear)];
@@ -196,8 +196,9 @@
 
 #[test]
 fn long_reports_are_split_into_datagrams() {
-    let items: Vec<ReportItem> =
-        (0..200).map(|i| ReportItem { upstream: NameId(u64::MAX - i), good: 9, bad: 9 }).collect();
+    let items: Vec<ReportItem> = (0..200)
+        .map(|i| ReportItem { upstream: NameId(u64::MAX - i), successes: 9, failures: 9 })
+        .collect();
     let report = Report { service: NameId(1), reporter: NameId(2), items };
     let key = FleetKey::derive("a fleet key of tests");
     let sizes: Vec<usize> = report_bodies(&report)
--- a/crates/honeypulley_platform/src/permits.rs
+++ b/crates/honeypulley_platform/src/permits.rs
@@ -66,7 +66,9 @@
         PermitChange::Eject(ctx) => record.eject(upstream, *ctx)?,
         PermitChange::Canary => record.start_canary(upstream)?,
         PermitChange::Release => record.release(upstream)?,
-        PermitChange::Retire { serial, seen } => record.retire(upstream, *serial, *seen)?,
+        PermitChange::Retire { serial, seen } => {
+            record.remove_released(upstream, *serial, *seen)?
+        }
     };
     let value = Bytes::from(serde_json::to_vec(&next).expect("a permit record serializes to JSON"));
     p.put(&key, value, expect).await?;
--- a/crates/honeypulley_policy/benches/pick.rs
+++ b/crates/honeypulley_policy/benches/pick.rs
@@ -58,13 +58,13 @@
 fn pick_time(limited: usize) -> u64 {
     let mut b = balancer();
     let service = b.service("s").expect("service is configured");
-    let ask = RequestInfo {
+    let info = RequestInfo {
         service,
         repeatable: true,
         priority: 0,
         large_response: false,
-        aim: Some(Duration::from_secs(1)),
-        left: None,
+        target: Some(Duration::from_secs(1)),
+        remaining: None,
         route: NameId::of("r"),
     };
     let mut times = Vec::new();
@@ -76,10 +76,10 @@
         for i in 0..PICKS {
             let now = start + Duration::from_micros(i * 100);
             let begin = Instant::now();
-            let pick = b.pick(&ask, &[], now).expect("upstreams are available");
+            let pick = b.pick(&info, &[], now).expect("upstreams are available");
             total += begin.elapsed();
-            b.answered(pick.attempt, true, now);
-            b.finish(pick.attempt, Outcome::Whole, now);
+            b.response_started(pick.attempt, true, now);
+            b.finish(pick.attempt, Outcome::Completed, now);
             b.take_updates();
         }
         times.push(total.as_nanos() as u64 / PICKS);
--- a/crates/honeypulley_policy/src/balance.rs
+++ b/crates/honeypulley_policy/src/balance.rs
@@ -175,7 +175,7 @@
     started: Time,
     target: Duration,
     /// Time limit of the attempt, if there is one.
-    left: Option<Duration>,
+    remaining: Option<Duration>,
     /// Whether it had to queue at the start, which makes its age weak evidence.
     queued: bool,
     /// Likelihood ratio (unhealthy to healthy) announced while it was in flight.
--- a/crates/honeypulley_policy/src/balance/admit.rs
+++ b/crates/honeypulley_policy/src/balance/admit.rs
@@ -35,11 +35,11 @@
     (Duration::from_millis(100), Duration::from_secs(2));
 
 /// Returns the highest expected latency at which a request is admitted.
-fn allowed_latency(ask: &RequestInfo, targets: f64) -> Duration {
-    let target = ask.aim.unwrap_or(DEFAULT_TARGET);
-    let late = ask.left.map_or(Duration::ZERO, |left| left.saturating_sub(target));
+fn allowed_latency(info: &RequestInfo, targets: f64) -> Duration {
+    let target = info.target.unwrap_or(DEFAULT_TARGET);
+    let late = info.remaining.map_or(Duration::ZERO, |left| left.saturating_sub(target));
     let allowed = target.mul_f64(targets).max(late.mul_f64(LATE_SHARE));
-    ask.left.map_or(allowed, |left| allowed.min(left))
+    info.remaining.map_or(allowed, |left| allowed.min(left))
 }
 
 /// Moving average of the share of a service's requests that have to queue.
@@ -66,17 +66,17 @@
     pub(super) fn admit(
         &mut self,
         k: UpstreamKey,
-        ask: &RequestInfo,
+        info: &RequestInfo,
         is_first: bool,
         now: Time,
     ) -> Result<(), Refusal> {
-        let wait = self.wait(k, ask, now);
-        let expected = wait + self.latency_quantile(ask, 0.5);
-        let least = allowed_latency(ask, STANDING_TARGETS);
-        let service = self.services.get_mut(ask.service);
+        let wait = self.wait(k, info, now);
+        let expected = wait + self.latency_quantile(info, 0.5);
+        let least = allowed_latency(info, STANDING_TARGETS);
+        let service = self.services.get_mut(info.service);
         let is_standing = service.is_some_and(|s| s.queueing.record(expected > least, now));
         let most = match (is_standing, is_first) {
-            (false, _) => allowed_latency(ask, TRANSIENT_TARGETS),
+            (false, _) => allowed_latency(info, TRANSIENT_TARGETS),
             (true, true) => least,
             (true, false) => least.mul_f64(RETRY_SHARE),
         };
@@ -92,12 +92,12 @@
     }
 
     /// Returns the queueing delay to expect at an upstream.
-    pub(super) fn wait(&self, k: UpstreamKey, ask: &RequestInfo, now: Time) -> Duration {
-        let (Some(u), Some(s)) = (self.upstreams.get(k), self.services.get(ask.service)) else {
+    pub(super) fn wait(&self, k: UpstreamKey, info: &RequestInfo, now: Time) -> Duration {
+        let (Some(u), Some(s)) = (self.upstreams.get(k), self.services.get(info.service)) else {
             return Duration::ZERO;
         };
         let service_time =
-            s.latencies.quantile(0.5, latency_prior(ask.aim.unwrap_or(DEFAULT_TARGET)));
+            s.latencies.quantile(0.5, latency_prior(info.target.unwrap_or(DEFAULT_TARGET)));
         u.wait(u.busy(now), service_time)
     }
 }
--- a/crates/honeypulley_policy/src/balance/choice.rs
+++ b/crates/honeypulley_policy/src/balance/choice.rs
@@ -56,39 +56,39 @@
 impl RoutingPolicy for Balancer {
     fn pick(
         &mut self,
-        ask: &RequestInfo,
+        info: &RequestInfo,
         tried: &[UpstreamKey],
         now: Time,
     ) -> Result<Pick, Refusal> {
-        let Some(s) = self.services.get(ask.service) else {
+        let Some(s) = self.services.get(info.service) else {
             return Err(self.refuse(RefusalKind::NoUpstream, NO_UPSTREAM_WAIT));
         };
-        let target = ask.aim.unwrap_or(DEFAULT_TARGET);
+        let target = info.target.unwrap_or(DEFAULT_TARGET);
         let service_time = s.latencies.quantile(0.5, latency_prior(target));
-        let rule = ProbeRule::of(s, ask, now);
-        let open = self.sendable(ask, tried, now)?;
+        let rule = ProbeRule::of(s, info, now);
+        let open = self.sendable(info, tried, now)?;
         // Retries are not used as probes.
         let probe_target =
             if tried.is_empty() { self.probe_target(&open, rule, now) } else { None };
         let probe_target = probe_target.map(|u| (u, Reason::Canary));
         let chosen = probe_target.or_else(|| {
-            let least = self.least_loss(&open, ask, service_time, now)?;
+            let least = self.least_loss(&open, info, service_time, now)?;
             Some((least, Reason::LeastLoss))
         });
         let Some((upstream, reason)) = chosen else {
             return Err(self.refuse(RefusalKind::NoUpstream, NO_UPSTREAM_WAIT));
         };
-        self.admit(upstream, ask, tried.is_empty(), now)?;
+        self.admit(upstream, info, tried.is_empty(), now)?;
         self.count_send(upstream, now);
         let u = &self.upstreams[upstream];
         let attempt = self.attempts.insert(Attempt {
             upstream,
             id: u.id,
-            service: ask.service,
-            route: ask.route,
+            service: info.service,
+            route: info.route,
             started: now,
             target,
-            left: ask.left,
+            remaining: info.remaining,
             queued: u.busy(now) >= u.slots,
             announced: 1.0,
             answer: None,
@@ -98,7 +98,7 @@
         Ok(Pick { attempt, upstream, reason })
     }
 
-    fn place(&self, k: UpstreamKey) -> Option<Endpoint<'_>> {
+    fn endpoint(&self, k: UpstreamKey) -> Option<Endpoint<'_>> {
         self.upstreams.get(k).map(|u| Endpoint { name: &u.name, addr: &u.addr })
     }
 
@@ -108,46 +108,46 @@
 
     fn inputs(&self, k: UpstreamKey, now: Time) -> PickInputs {
         self.upstreams.get(k).map_or_else(PickInputs::default, |u| PickInputs {
-            sick: self.unhealthy_chance(k, now),
+            unhealthy: self.unhealthy_chance(k, now),
             path: u.path.probability(now),
             busy: u.busy(now),
-            near: u.local,
+            same_hall: u.local,
             load_age: u.remote.map(|r| now.since(r.at)),
             limit: self.advertised_limit(k, now),
             ..PickInputs::default()
         })
     }
 
-    fn expected(&self, ask: &RequestInfo, now: Time) -> Option<Duration> {
-        let s = self.services.get(ask.service)?;
+    fn expected_latency(&self, info: &RequestInfo, now: Time) -> Option<Duration> {
+        let s = self.services.get(info.service)?;
         let open = s.upstreams.iter().filter(|&&k| !self.upstreams[k].is_leaving());
-        let wait = open.map(|&k| self.wait(k, ask, now)).min()?;
-        Some(wait + self.latency_quantile(ask, 0.5))
+        let wait = open.map(|&k| self.wait(k, info, now)).min()?;
+        Some(wait + self.latency_quantile(info, 0.5))
     }
 
-    fn recheck_delay(&self, ask: &RequestInfo, age: Duration) -> Duration {
-        self.next_check(ask, age)
+    fn recheck_delay(&self, info: &RequestInfo, age: Duration) -> Duration {
+        self.next_check(info, age)
     }
 
-    fn is_in_flight(&mut self, k: AttemptKey, now: Time) {
+    fn record_in_flight(&mut self, k: AttemptKey, now: Time) {
         self.record_in_flight(k, now);
     }
 
-    fn hedge(&self, ask: &RequestInfo, k: AttemptKey, now: Time) -> Option<f64> {
-        self.unanswered_chance(ask, k, now)
+    fn hedge_value(&self, info: &RequestInfo, k: AttemptKey, now: Time) -> Option<f64> {
+        self.unanswered_chance(info, k, now)
     }
 
-    fn can_meet_deadline(&self, ask: &RequestInfo) -> bool {
-        ask.left.is_none_or(|left| left >= self.latency_quantile(ask, IN_TIME_QUANTILE))
+    fn can_meet_deadline(&self, info: &RequestInfo) -> bool {
+        info.remaining.is_none_or(|left| left >= self.latency_quantile(info, IN_TIME_QUANTILE))
     }
 
     fn check_available(
         &mut self,
-        ask: &RequestInfo,
+        info: &RequestInfo,
         tried: &[UpstreamKey],
         now: Time,
     ) -> Result<(), Refusal> {
-        if self.sendable(ask, tried, now)?.is_empty() {
+        if self.sendable(info, tried, now)?.is_empty() {
             return Err(self.refuse(RefusalKind::NoUpstream, NO_UPSTREAM_WAIT));
         }
         Ok(())
@@ -162,17 +162,17 @@
         self.services.get(k).map_or_else(BudgetUsage::default, usage)
     }
 
-    fn answered(&mut self, k: AttemptKey, ok: bool, now: Time) {
+    fn response_started(&mut self, k: AttemptKey, ok: bool, now: Time) {
         self.record_head(k, ok, now);
     }
 
-    fn sized(&mut self, k: AttemptKey, bytes: u64) {
+    fn record_size(&mut self, k: AttemptKey, bytes: u64) {
         if let Some(a) = self.attempts.get(k) {
             self.sizes.add(a.route, bytes);
         }
     }
 
-    fn signalled(&mut self, k: AttemptKey, s: &Signals, now: Time) -> SignalChanges {
+    fn record_signals(&mut self, k: AttemptKey, s: &Signals, now: Time) -> SignalChanges {
         self.record_signals(k, s, now)
     }
 
@@ -190,14 +190,14 @@
     fn least_loss(
         &mut self,
         open: &[UpstreamKey],
-        ask: &RequestInfo,
+        info: &RequestInfo,
         service_time: Duration,
         now: Time,
     ) -> Option<UpstreamKey> {
         let candidate = |&upstream: &UpstreamKey| Candidate {
             upstream,
             local: self.upstreams[upstream].local,
-            loss: self.loss(upstream, ask, service_time, now),
+            loss: self.loss(upstream, info, service_time, now),
         };
         let candidates: Vec<Candidate> = open.iter().map(candidate).collect();
         let least = candidates.iter().min_by(|a, b| a.loss.total_cmp(&b.loss))?;
@@ -206,17 +206,17 @@
     }
 
     /// Returns the expected loss of one attempt, in requests.
-    fn loss(&self, k: UpstreamKey, ask: &RequestInfo, service_time: Duration, now: Time) -> f64 {
+    fn loss(&self, k: UpstreamKey, info: &RequestInfo, service_time: Duration, now: Time) -> f64 {
         let u = &self.upstreams[k];
         let failure = self.fault_chance(k, now) * FAILS_SICK;
-        let weight = if ask.repeatable { REPEATABLE_LOSS } else { UNSAFE_LOSS };
+        let weight = if info.repeatable { REPEATABLE_LOSS } else { UNSAFE_LOSS };
         let busy = u.busy(now);
         let wait = u.wait(busy, service_time);
-        let targets = wait.as_secs_f64() / ask.aim.unwrap_or(DEFAULT_TARGET).as_secs_f64();
+        let targets = wait.as_secs_f64() / info.target.unwrap_or(DEFAULT_TARGET).as_secs_f64();
         let mut loss = failure * weight + targets * WAIT_LOSS + busy / u.slots * CONCURRENCY_LOSS;
         if !u.local {
             loss += CROSS_HALL_LOSS
-                + self.sizes.expected(ask.route, ask.large_response) * self.byte_cost;
+                + self.sizes.expected(info.route, info.large_response) * self.byte_cost;
         }
         if now < u.warm_up_until {
             loss += WARMUP_LOSS;
--- a/crates/honeypulley_policy/src/balance/doubt.rs
+++ b/crates/honeypulley_policy/src/balance/doubt.rs
@@ -121,10 +121,10 @@
     /// Returns the time until an attempt in flight has to be checked again.
     ///
     /// That is when it reaches the next evidence threshold or may be hedged.
-    pub(super) fn next_check(&self, ask: &RequestInfo, age: Duration) -> Duration {
-        let target = ask.aim.unwrap_or(DEFAULT_TARGET);
-        let thresholds = [OVERDUE_RATIO, HUNG_RATIO].map(|r| self.age_of_ratio(ask, r, target));
-        let ages = thresholds.into_iter().flatten().chain([self.hedge_delay(ask)]);
+    pub(super) fn next_check(&self, info: &RequestInfo, age: Duration) -> Duration {
+        let target = info.target.unwrap_or(DEFAULT_TARGET);
+        let thresholds = [OVERDUE_RATIO, HUNG_RATIO].map(|r| self.age_of_ratio(info, r, target));
+        let ages = thresholds.into_iter().flatten().chain([self.hedge_delay(info)]);
         let next = ages.filter(|&at| at > age).min();
         next.map_or_else(|| target.mul_f64(CHECK_INTERVAL), |at| (at - age).max(MIN_CHECK_INTERVAL))
     }
@@ -134,9 +134,9 @@
     /// It is the latest age at which the hedge is still likely to be answered within the
     /// latency target; earlier hedges spend retry budget on attempts that would have been
     /// answered.
-    pub(super) fn hedge_delay(&self, ask: &RequestInfo) -> Duration {
-        let target = ask.aim.unwrap_or(DEFAULT_TARGET);
-        let latency = self.latency_quantile(ask, HEDGE_QUANTILE).mul_f64(ROUND_TRIP_FACTOR);
+    pub(super) fn hedge_delay(&self, info: &RequestInfo) -> Duration {
+        let target = info.target.unwrap_or(DEFAULT_TARGET);
+        let latency = self.latency_quantile(info, HEDGE_QUANTILE).mul_f64(ROUND_TRIP_FACTOR);
         let (least, most) = (target.mul_f64(HEDGE_BOUNDS.0), target.mul_f64(HEDGE_BOUNDS.1));
         target.saturating_sub(latency).clamp(least, most)
     }
@@ -144,31 +144,31 @@
     /// Returns the probability that an attempt stays unanswered, once it may be hedged.
     pub(super) fn unanswered_chance(
         &self,
-        ask: &RequestInfo,
+        info: &RequestInfo,
         k: AttemptKey,
         now: Time,
     ) -> Option<f64> {
         let a = self.attempts.get(k).filter(|a| self.upstreams.contains_key(a.upstream))?;
         let probability = self.fault_chance(a.upstream, now) * FAILS_SICK;
         // The hedging delay may have changed slightly since this check was scheduled.
-        let due = now.since(a.started) + MIN_CHECK_INTERVAL >= self.hedge_delay(ask);
+        let due = now.since(a.started) + MIN_CHECK_INTERVAL >= self.hedge_delay(info);
         due.then_some(probability)
     }
 
     /// Returns a quantile of the latency to expect for a request.
-    pub(super) fn latency_quantile(&self, ask: &RequestInfo, share: f64) -> Duration {
-        let target = ask.aim.unwrap_or(DEFAULT_TARGET);
-        let latencies = self.route_latencies.get(&ask.route).filter(|h| h.is_warm());
-        let latencies = latencies.or_else(|| self.services.get(ask.service).map(|s| &s.latencies));
+    pub(super) fn latency_quantile(&self, info: &RequestInfo, share: f64) -> Duration {
+        let target = info.target.unwrap_or(DEFAULT_TARGET);
+        let latencies = self.route_latencies.get(&info.route).filter(|h| h.is_warm());
+        let latencies = latencies.or_else(|| self.services.get(info.service).map(|s| &s.latencies));
         latencies.map_or(target, |h| h.quantile(share, latency_prior(target)))
     }
 
     /// Returns the age at which an attempt reaches a likelihood ratio.
-    fn age_of_ratio(&self, ask: &RequestInfo, ratio: f64, target: Duration) -> Option<Duration> {
-        let service = self.services.get(ask.service)?;
+    fn age_of_ratio(&self, info: &RequestInfo, ratio: f64, target: Duration) -> Option<Duration> {
+        let service = self.services.get(info.service)?;
         let latencies = self
             .route_latencies
-            .get(&ask.route)
+            .get(&info.route)
             .filter(|h| h.is_warm())
             .unwrap_or(&service.latencies);
         let ratio_at = |age: Duration| {
--- a/crates/honeypulley_policy/src/balance/heard.rs
+++ b/crates/honeypulley_policy/src/balance/heard.rs
@@ -90,7 +90,7 @@
             // Counts of organisations, here and in the next variant, are not handled by the
             // balancer.
             Update::Admitted { subject, sum } => {
-                self.limits.apply_admitted(from, subject, sum, now)
+                self.limits.apply_admitted(from, subject, sum, now);
             }
             Update::HallAdmitted { .. } => {}
         }
--- a/crates/honeypulley_policy/src/balance/learn.rs
+++ b/crates/honeypulley_policy/src/balance/learn.rs
@@ -137,7 +137,7 @@
         let Some(&a) = self.attempts.get(k) else { return };
         let hung = a.answer.is_none() && self.is_hung(&a, now);
         self.attempts.remove(k);
-        let is_invalid = matches!(outcome, Outcome::Wrong | Outcome::Failed);
+        let is_invalid = matches!(outcome, Outcome::Malformed | Outcome::Failed);
         let served = a.answer == Some(AnswerKind::Good) && !is_invalid;
         if let Some(u) = self.upstreams.get_mut(a.upstream) {
             u.in_flight.retain(|&x| x != k);
@@ -151,7 +151,7 @@
             });
         }
         let observation = match outcome {
-            Outcome::Whole | Outcome::Abandoned | Outcome::Late => {
+            Outcome::Completed | Outcome::Cancelled | Outcome::TimedOut => {
                 // The caller or the deadline ended the attempt, so only its age is evidence.
                 if hung {
                     self.record_observation(a.upstream, Observation::Hung, now);
@@ -159,7 +159,7 @@
                 return;
             }
             Outcome::NotRun => Observation::Shed,
-            Outcome::Failed | Outcome::Wrong => Observation::Failure,
+            Outcome::Failed | Outcome::Malformed => Observation::Failure,
             Outcome::Refused => Observation::Refused,
             Outcome::Unreachable => Observation::Unreachable,
             Outcome::Misdirected => {
@@ -225,7 +225,7 @@
 impl Attempt {
     /// Returns whether the attempt has used up its time limit.
     fn is_expired(&self, now: Time) -> bool {
-        self.left.is_some_and(|left| now.since(self.started) >= left.mul_f64(EXPIRED_SHARE))
+        self.remaining.is_some_and(|left| now.since(self.started) >= left.mul_f64(EXPIRED_SHARE))
     }
 }
 
--- a/crates/honeypulley_policy/src/balance/named.rs
+++ b/crates/honeypulley_policy/src/balance/named.rs
@@ -207,20 +207,20 @@
     pub(super) fn filter_limited(
         &mut self,
         open: Vec<UpstreamKey>,
-        ask: &RequestInfo,
+        info: &RequestInfo,
         now: Time,
     ) -> (Vec<UpstreamKey>, Option<Duration>) {
         if self.limits.entries.is_empty() || open.is_empty() {
             return (open, None);
         }
-        let Some(s) = self.services.get(ask.service) else { return (open, None) };
+        let Some(s) = self.services.get(info.service) else { return (open, None) };
         let division = self.division(s, now);
         let boxes = self.hall_boxes;
         self.limits.buckets.set_scope(LimitScope { boxes, halls: 1, isolated: self.isolated });
         let mut allowed = Vec::with_capacity(open.len());
         let mut wait: Option<Duration> = None;
         for k in open {
-            match self.check_limit(k, ask, division, now) {
+            match self.check_limit(k, info, division, now) {
                 Ok(()) => allowed.push(k),
                 Err(w) => wait = Some(wait.map_or(w, |least| least.min(w))),
             }
@@ -232,7 +232,7 @@
     fn check_limit(
         &mut self,
         k: UpstreamKey,
-        ask: &RequestInfo,
+        info: &RequestInfo,
         division: Division,
         now: Time,
     ) -> Result<(), Duration> {
@@ -245,7 +245,7 @@
         if share == 0.0 {
             return Err(Duration::from_secs_f64(1.0 / n.rate.max(MIN_RATE)));
         }
-        let is_deferrable = division == Division::Halls && (ask.repeatable || ask.priority > 0);
+        let is_deferrable = division == Division::Halls && (info.repeatable || info.priority > 0);
         let reserve = if is_deferrable { URGENT_RESERVE } else { 0.0 };
         self.limits.buckets.check(id, 1.0 + offset * OFFSET_TOKENS + reserve, now)
     }
--- a/crates/honeypulley_policy/src/balance/signals.rs
+++ b/crates/honeypulley_policy/src/balance/signals.rs
@@ -114,11 +114,11 @@
     /// Refuses the request if there is none, with the time until one becomes available.
     pub(super) fn sendable(
         &mut self,
-        ask: &RequestInfo,
+        info: &RequestInfo,
         tried: &[UpstreamKey],
         now: Time,
     ) -> Result<Vec<UpstreamKey>, Refusal> {
-        let listed = self.services.get(ask.service).map_or(&[][..], |s| &s.upstreams);
+        let listed = self.services.get(info.service).map_or(&[][..], |s| &s.upstreams);
         let (mut open, mut wait) = (Vec::with_capacity(listed.len()), None);
         for &k in listed.iter().filter(|k| !tried.contains(k)) {
             let u = &self.upstreams[k];
@@ -129,8 +129,8 @@
             }
         }
         let is_backoff = open.is_empty() && wait.is_some();
-        let (open, limited) = self.filter_limited(open, ask, now);
-        let kind = if is_backoff { RefusalKind::Backoff } else { RefusalKind::Limited };
+        let (open, limited) = self.filter_limited(open, info, now);
+        let kind = if is_backoff { RefusalKind::Backoff } else { RefusalKind::LimitsExhausted };
         match limited.map_or(wait, |w| min_wait(wait, w)) {
             Some(wait) if open.is_empty() => {
                 Err(self.refuse(kind, wait.clamp(RETRY_AFTER_BOUNDS.0, RETRY_AFTER_BOUNDS.1)))
--- a/crates/honeypulley_policy/src/balance/trial.rs
+++ b/crates/honeypulley_policy/src/balance/trial.rs
@@ -75,9 +75,9 @@
 
 impl ProbeRule {
     /// Returns the rule for a request to a service.
-    pub(super) fn of(s: &Service, ask: &RequestInfo, now: Time) -> Self {
+    pub(super) fn of(s: &Service, info: &RequestInfo, now: Time) -> Self {
         let is_starting = now.since(s.added) < STARTUP_TIME;
-        let max_idle = match (is_starting, ask.repeatable) {
+        let max_idle = match (is_starting, info.repeatable) {
             (true, _) => STARTUP_MAX_IDLE,
             (false, true) => MAX_IDLE,
             (false, false) => FLOOR_WINDOW,
@@ -88,7 +88,7 @@
         let floor = FloorRule { share: s.spec.floor.share(upstreams), upstreams };
         // While the failure rate is high, beliefs are least certain and the floor is evaluated.
         // Probing with a repeatable request costs no more than a retry.
-        let is_floor_enough = !is_starting && !failing && !ask.repeatable;
+        let is_floor_enough = !is_starting && !failing && !info.repeatable;
         Self { backoff, max_idle, floor: is_floor_enough.then_some(floor) }
     }
 }
--- a/crates/honeypulley_policy/src/chooser.rs
+++ b/crates/honeypulley_policy/src/chooser.rs
@@ -21,9 +21,9 @@
     /// Whether the response is large.
     pub large_response: bool,
     /// Target latency of the route, if it has one.
-    pub aim: Option<Duration>,
+    pub target: Option<Duration>,
     /// Time remaining until the deadline, if there is one.
-    pub left: Option<Duration>,
+    pub remaining: Option<Duration>,
     /// Route that matched the request.
     pub route: NameId,
 }
@@ -50,13 +50,13 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PickInputs {
     /// Probability that the upstream is unhealthy, based on the observations of all boxes.
-    pub sick: f64,
+    pub unhealthy: f64,
     /// Probability that the path from this box to the upstream has failed.
     pub path: f64,
     /// Running and queued requests of the upstream, as far as this box knows.
     pub busy: f64,
     /// Whether the upstream is in the data hall of this box.
-    pub near: bool,
+    pub same_hall: bool,
     /// Age of the last load report, if there is one.
     pub load_age: Option<Duration>,
     /// Rate limit announced by the upstream.
@@ -82,12 +82,12 @@
     /// Returns a [`Refusal`] if no upstream is available; nothing has been sent then.
     fn pick(
         &mut self,
-        ask: &RequestInfo,
+        info: &RequestInfo,
         tried: &[UpstreamKey],
         now: Time,
     ) -> Result<Pick, Refusal>;
     /// Returns the name and address of an upstream, if it is still known.
-    fn place(&self, k: UpstreamKey) -> Option<Endpoint<'_>>;
+    fn endpoint(&self, k: UpstreamKey) -> Option<Endpoint<'_>>;
     /// Returns whether an upstream has restarted, which ends all attempts opened there before.
     fn has_restarted(&self, _: UpstreamKey) -> bool {
         false
@@ -97,17 +97,17 @@
         PickInputs::default()
     }
     /// Returns the shortest expected latency, for logging a refusal.
-    fn expected(&self, _: &RequestInfo, _: Time) -> Option<Duration> {
+    fn expected_latency(&self, _: &RequestInfo, _: Time) -> Option<Duration> {
         None
     }
     /// Returns the delay until an open attempt of this age is checked again.
-    fn recheck_delay(&self, ask: &RequestInfo, age: Duration) -> Duration;
+    fn recheck_delay(&self, info: &RequestInfo, age: Duration) -> Duration;
     /// Records that an attempt is still pending.
-    fn is_in_flight(&mut self, k: AttemptKey, now: Time);
+    fn record_in_flight(&mut self, k: AttemptKey, now: Time);
     /// Returns whether a hedged attempt is worthwhile while another of this age is pending.
     ///
     /// `Some` holds the probability that the first attempt gets no response.
-    fn hedge(&self, _: &RequestInfo, _: AttemptKey, _: Time) -> Option<f64> {
+    fn hedge_value(&self, _: &RequestInfo, _: AttemptKey, _: Time) -> Option<f64> {
         Some(1.0)
     }
     /// Returns whether an attempt sent now could still meet the deadline.
@@ -133,11 +133,11 @@
         BudgetUsage::default()
     }
     /// Records the head of a response; `ok` is false for a failure response.
-    fn answered(&mut self, k: AttemptKey, ok: bool, now: Time);
+    fn response_started(&mut self, k: AttemptKey, ok: bool, now: Time);
     /// Records the length of a response body in bytes, once the head states it.
-    fn sized(&mut self, _: AttemptKey, _: u64) {}
+    fn record_size(&mut self, _: AttemptKey, _: u64) {}
     /// Records the signals that an upstream sent in the head of a response.
-    fn signalled(&mut self, k: AttemptKey, s: &Signals, now: Time) -> SignalChanges;
+    fn record_signals(&mut self, k: AttemptKey, s: &Signals, now: Time) -> SignalChanges;
     /// Records a successful response without a rate limit; returns whether a limit was lifted.
     fn clear_limit(&mut self, _: AttemptKey) -> bool {
         false
@@ -149,34 +149,34 @@
 impl RoutingPolicy for Router {
     fn pick(
         &mut self,
-        ask: &RequestInfo,
+        info: &RequestInfo,
         tried: &[UpstreamKey],
         now: Time,
     ) -> Result<Pick, Refusal> {
-        Self::pick(self, ask.service, ask.repeatable, tried, now)
+        Self::pick(self, info.service, info.repeatable, tried, now)
     }
 
-    fn place(&self, k: UpstreamKey) -> Option<Endpoint<'_>> {
-        self.upstream(k).map(|(name, addr)| Endpoint { name, addr })
+    fn endpoint(&self, k: UpstreamKey) -> Option<Endpoint<'_>> {
+        self.endpoint(k).map(|(name, addr)| Endpoint { name, addr })
     }
 
-    fn recheck_delay(&self, ask: &RequestInfo, _: Duration) -> Duration {
-        self.stall_limit(ask.service)
+    fn recheck_delay(&self, info: &RequestInfo, _: Duration) -> Duration {
+        self.stall_limit(info.service)
     }
 
     // The router detects overdue attempts in its own tick.
-    fn is_in_flight(&mut self, _: AttemptKey, _: Time) {}
+    fn record_in_flight(&mut self, _: AttemptKey, _: Time) {}
 
     fn spend_retry(&mut self, k: ServiceKey, _: RetryReason, _: Time) -> bool {
         Self::spend_retry(self, k)
     }
 
-    fn answered(&mut self, k: AttemptKey, ok: bool, now: Time) {
-        Self::answered(self, k, ok, now);
+    fn response_started(&mut self, k: AttemptKey, ok: bool, now: Time) {
+        Self::response_started(self, k, ok, now);
     }
 
-    fn signalled(&mut self, k: AttemptKey, s: &Signals, now: Time) -> SignalChanges {
-        Self::signalled(self, k, s, now)
+    fn record_signals(&mut self, k: AttemptKey, s: &Signals, now: Time) -> SignalChanges {
+        Self::record_signals(self, k, s, now)
     }
 
     fn finish(&mut self, k: AttemptKey, outcome: Outcome, now: Time) {
--- a/crates/honeypulley_policy/src/collector.rs
+++ b/crates/honeypulley_policy/src/collector.rs
@@ -29,9 +29,9 @@
     /// Reported upstream.
     pub upstream: NameId,
     /// Number of successes.
-    pub good: u16,
+    pub successes: u16,
     /// Weighted failures, in tenths of a failure.
-    pub bad: u16,
+    pub failures: u16,
 }
 
 /// Outcomes that one box observed for one service since its last report.
@@ -156,12 +156,12 @@
     /// Returns the score from which an upstream is suspect.
     #[must_use]
     pub fn threshold(lean: Lean) -> f64 {
-        lean.mix(15.0, 22.0)
+        lean.interpolate(15.0, 22.0)
     }
 
     /// Returns the recent failures required for a suspicion.
     fn min_failures(&self) -> f64 {
-        self.lean.mix(6.0, 8.0)
+        self.lean.interpolate(6.0, 8.0)
     }
 
     /// Returns the recent failures required, lowered for a service with little traffic.
@@ -181,7 +181,7 @@
     /// Returns the number of witnesses required for a suspicion.
     #[must_use]
     fn quorum(&self) -> usize {
-        (self.lean.mix(3.0, 4.0).round() as usize).min(self.boxes)
+        (self.lean.interpolate(3.0, 4.0).round() as usize).min(self.boxes)
     }
 
     /// Adopts an upstream that another collector ejected.
@@ -198,13 +198,13 @@
     }
 
     /// Applies one report and returns the changed verdicts.
-    pub fn report(&mut self, report: &Report, now: Time) -> Vec<Verdict> {
+    pub fn apply_report(&mut self, report: &Report, now: Time) -> Vec<Verdict> {
         let weight = self.credibility(report, now);
         let known: Vec<ReportItem> =
             report.items.iter().copied().filter(|i| self.members.contains(&i.upstream)).collect();
         for item in known {
             let bad = self.record_evidence(report.reporter, item, weight, now);
-            self.scores.add(item.upstream, f64::from(item.good), bad, now);
+            self.scores.add(item.upstream, f64::from(item.successes), bad, now);
         }
         self.judge(now)
     }
@@ -227,7 +227,7 @@
     ///
     /// A box that suspects many upstreams is probably faulty itself. Source: Lifeguard (2017).
     fn credibility(&self, report: &Report, now: Time) -> f64 {
-        let reported = report.items.iter().filter(|i| i.bad > 0).map(|i| i.upstream);
+        let reported = report.items.iter().filter(|i| i.failures > 0).map(|i| i.upstream);
         let recorded = self
             .evidence
             .range((report.reporter, NameId(0))..=(report.reporter, NameId(u64::MAX)))
@@ -248,10 +248,10 @@
         weight: f64,
         now: Time,
     ) -> f64 {
-        if item.bad == 0 {
+        if item.failures == 0 {
             return 0.0;
         }
-        let bad = f64::from(item.bad) / 10.0 * weight;
+        let bad = f64::from(item.failures) / 10.0 * weight;
         let cap = self.witness_cap();
         let slot = self.evidence.entry((reporter, item.upstream)).or_insert((0.0, now));
         if now.since(slot.1) >= WITNESS_WINDOW {
--- a/crates/honeypulley_policy/src/join.rs
+++ b/crates/honeypulley_policy/src/join.rs
@@ -30,20 +30,20 @@
 
 impl Join {
     /// Records the version in force on a peer, or zero if it has none.
-    pub fn peer_told(&mut self, peer: NameId, version: u64) {
+    pub fn record_peer_version(&mut self, peer: NameId, version: u64) {
         if !self.done {
             self.peer_versions.insert(peer, version);
         }
     }
 
     /// Records the version accepted by the platform.
-    pub const fn platform_told(&mut self, version: u64) {
+    pub const fn record_platform_version(&mut self, version: u64) {
         self.platform = Some(version);
     }
 
     /// Returns whether the box has joined.
     #[must_use]
-    pub const fn is_done(&self) -> bool {
+    pub const fn has_joined(&self) -> bool {
         self.done
     }
 
@@ -51,7 +51,7 @@
     ///
     /// `version` is zero if the box has none, and `others` is the number of other live boxes.
     /// Returns the source for the call that joins, and `None` for all others.
-    pub fn decide(&mut self, version: u64, others: usize) -> Option<JoinSource> {
+    pub fn try_join(&mut self, version: u64, others: usize) -> Option<JoinSource> {
         if self.done || version == 0 {
             return None;
         }
--- a/crates/honeypulley_policy/src/limits.rs
+++ b/crates/honeypulley_policy/src/limits.rs
@@ -24,7 +24,7 @@
     ///
     /// # Errors
     /// Returns the time until the next request is allowed; the state is left unchanged.
-    pub fn take(&mut self, burst: f64, now: Time) -> Result<(), Duration> {
+    pub fn try_acquire(&mut self, burst: f64, now: Time) -> Result<(), Duration> {
         let t = now.as_secs();
         let next_at = self.next_at.max(t);
         let tolerance = self.interval * (burst - 1.0).max(0.0);
@@ -55,12 +55,12 @@
     }
 
     /// Replenishes the budget after one success.
-    pub fn earn(&mut self) {
+    pub fn deposit(&mut self) {
         self.tokens = (self.tokens + self.share).min(BUDGET_CAP);
     }
 
     /// Spends one retry and returns whether the budget allowed it.
-    pub fn spend(&mut self) -> bool {
+    pub fn try_withdraw(&mut self) -> bool {
         let is_available = self.share > 0.0 && self.tokens >= 1.0;
         if is_available {
             self.tokens -= 1.0;
--- a/crates/honeypulley_policy/src/permits.rs
+++ b/crates/honeypulley_policy/src/permits.rs
@@ -5,7 +5,7 @@
 //! clocks of different boxes are never compared.
 //!
 //! A box may act on a permit for [`LEASE`] after the platform last confirmed the box's view. A
-//! released upstream stays on the list as [`Hold::Cooling`] until all older views have expired:
+//! released upstream stays on the list as [`PermitState::Cooling`] until all older views have expired:
 //! whoever removes it must itself have observed the release for longer than a lease, on its own
 //! monotonic clock. Therefore the union of the ejections of all boxes is always a subset of the
 //! list, and the list never exceeds what the floor allows.
@@ -18,12 +18,12 @@
 /// Time for which a confirmed view of the permits may be acted on.
 pub const LEASE: Duration = Duration::from_secs(10);
 /// Additional wait before a slot is freed, to allow for clock drift.
-pub const MARGIN: Duration = Duration::from_secs(1);
+pub const CLOCK_MARGIN: Duration = Duration::from_secs(1);
 
 /// State of a listed upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Hold {
+pub enum PermitState {
     /// Receives no requests.
     Ejected,
     /// Receives a few repeatable requests as a probe for recovery.
@@ -36,7 +36,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PermitEntry {
     /// State of the upstream.
-    pub hold: Hold,
+    pub hold: PermitState,
     /// Serial number of the change that set this state.
     pub serial: u64,
 }
@@ -88,7 +88,7 @@
     /// if the upstream is already ejected.
     pub fn eject(&self, upstream: &str, ctx: FloorContext) -> Result<Self, PermitError> {
         let listed = self.hold(upstream);
-        if listed == Some(Hold::Ejected) {
+        if listed == Some(PermitState::Ejected) {
             return Err(PermitError::State);
         }
         // An upstream that is already listed takes no additional slot.
@@ -97,7 +97,7 @@
             let FloorContext { live, floor } = ctx;
             return Err(PermitError::Floor { live, held: self.entries.len(), floor });
         }
-        Ok(self.with_hold(upstream, Hold::Ejected))
+        Ok(self.with_hold(upstream, PermitState::Ejected))
     }
 
     /// Returns the record with `upstream` receiving canary requests.
@@ -106,7 +106,7 @@
     /// Returns [`PermitError::State`] unless the upstream is ejected.
     pub fn start_canary(&self, upstream: &str) -> Result<Self, PermitError> {
         match self.hold(upstream) {
-            Some(Hold::Ejected) => Ok(self.with_hold(upstream, Hold::Canary)),
+            Some(PermitState::Ejected) => Ok(self.with_hold(upstream, PermitState::Canary)),
             _ => Err(PermitError::State),
         }
     }
@@ -117,7 +117,9 @@
     /// Returns [`PermitError::State`] unless the upstream is ejected or a canary.
     pub fn release(&self, upstream: &str) -> Result<Self, PermitError> {
         match self.hold(upstream) {
-            Some(Hold::Ejected | Hold::Canary) => Ok(self.with_hold(upstream, Hold::Cooling)),
+            Some(PermitState::Ejected | PermitState::Canary) => {
+                Ok(self.with_hold(upstream, PermitState::Cooling))
+            }
             _ => Err(PermitError::State),
         }
     }
@@ -130,12 +132,17 @@
     /// # Errors
     /// Returns [`PermitError::Cooling`] while older views may still be acted on, and
     /// [`PermitError::State`] unless the entry is that release.
-    pub fn retire(&self, upstream: &str, serial: u64, seen: Duration) -> Result<Self, PermitError> {
-        if self.entries.get(upstream) != Some(&PermitEntry { hold: Hold::Cooling, serial }) {
+    pub fn remove_released(
+        &self,
+        upstream: &str,
+        serial: u64,
+        seen: Duration,
+    ) -> Result<Self, PermitError> {
+        if self.entries.get(upstream) != Some(&PermitEntry { hold: PermitState::Cooling, serial }) {
             return Err(PermitError::State);
         }
-        if seen < LEASE + MARGIN {
-            return Err(PermitError::Cooling(LEASE + MARGIN - seen));
+        if seen < LEASE + CLOCK_MARGIN {
+            return Err(PermitError::Cooling(LEASE + CLOCK_MARGIN - seen));
         }
         let mut next = self.clone();
         next.serial += 1;
@@ -145,11 +152,11 @@
 
     /// Returns the state of an upstream, if it is listed.
     #[must_use]
-    pub fn hold(&self, upstream: &str) -> Option<Hold> {
+    pub fn hold(&self, upstream: &str) -> Option<PermitState> {
         self.entries.get(upstream).map(|e| e.hold)
     }
 
-    fn with_hold(&self, upstream: &str, hold: Hold) -> Self {
+    fn with_hold(&self, upstream: &str, hold: PermitState) -> Self {
         let mut next = self.clone();
         next.serial += 1;
         next.entries.insert(upstream.to_owned(), PermitEntry { hold, serial: next.serial });
--- a/crates/honeypulley_policy/src/placement.rs
+++ b/crates/honeypulley_policy/src/placement.rs
@@ -27,7 +27,7 @@
 /// The subject is hashed only once, as the seed for hashing the names, since a box computes
 /// placements for hundreds of services among hundreds of names.
 #[must_use]
-pub fn top<'a>(
+pub fn highest_weighted<'a>(
     role: Role,
     subject: &str,
     names: impl IntoIterator<Item = &'a str>,
@@ -55,7 +55,7 @@
 /// Returns the boxes that collect evidence on a service.
 #[must_use]
 pub fn collectors<'a>(service: &str, boxes: impl IntoIterator<Item = &'a str>) -> Vec<&'a str> {
-    top(Role::Collector, service, boxes, COLLECTORS)
+    highest_weighted(Role::Collector, service, boxes, COLLECTORS)
 }
 
 /// Returns the number of upstreams of a service that one box may connect to.
--- a/crates/honeypulley_policy/src/router.rs
+++ b/crates/honeypulley_policy/src/router.rs
@@ -10,7 +10,7 @@
 use crate::collector::{Judgement, NameId, Verdict};
 use crate::ledger::CusumScores;
 use crate::limits::{Gcra, RetryBudget};
-use crate::permits::{Hold, PermitView};
+use crate::permits::{PermitState, PermitView};
 use crate::placement::{self, Role};
 use crate::spec::{Member, MemberState, ServiceSpec};
 use crate::spread::LatencyStats;
@@ -62,7 +62,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// The complete response was forwarded.
-    Whole,
+    Completed,
     /// The upstream rejected the request without running it.
     NotRun,
     /// The connection was reset, or the response reported a failure.
@@ -74,11 +74,11 @@
     /// A different instance answered at the address and refused to run the request.
     Misdirected,
     /// The response was malformed, truncated or mislabelled.
-    Wrong,
+    Malformed,
     /// The deadline expired.
-    Late,
+    TimedOut,
     /// The client disconnected, or another attempt succeeded first.
-    Abandoned,
+    Cancelled,
 }
 
 /// An open attempt.
@@ -119,7 +119,7 @@
     /// End of the backoff that the upstream requested from this box.
     backoff: Option<Time>,
     added: Time,
-    out: usize,
+    in_flight: usize,
     load: Option<(f64, Time)>,
     /// Whether the last response arrived within the usual time.
     is_fast: bool,
@@ -127,7 +127,7 @@
     verdict: Option<CollectorHold>,
     /// Number of boxes that supported the last suspicion.
     witnesses: u16,
-    permit: Option<Hold>,
+    permit: Option<PermitState>,
     unreported: (u16, u16),
 }
 
@@ -159,7 +159,7 @@
     /// Evidence recorded by this box.
     pub evidence: LocalEvidence,
     /// Number of open attempts of this box.
-    pub out: usize,
+    pub in_flight: usize,
 }
 
 /// Evidence that a box recorded on an upstream.
@@ -253,7 +253,7 @@
         let s = &self.services[k];
         let size = placement::subset_size(self.boxes, list.len().max(1), s.spec.connections);
         let names = list.iter().map(|m| m.name.as_str());
-        let subset = placement::top(Role::Subset, &self.name, names, size);
+        let subset = placement::highest_weighted(Role::Subset, &self.name, names, size);
         let old = s.upstreams.clone();
         let kept: Vec<UpstreamKey> = list
             .iter()
@@ -296,7 +296,7 @@
             drained: None,
             backoff: None,
             added: now,
-            out: 0,
+            in_flight: 0,
             load: None,
             is_fast: false,
             local: LocalHold::default(),
@@ -326,7 +326,7 @@
     }
 
     /// Applies a collector's verdict and returns the name of the upstream, if known.
-    pub fn set_verdict(&mut self, v: &Verdict, now: Time) -> Option<&str> {
+    pub fn apply_verdict(&mut self, v: &Verdict, now: Time) -> Option<&str> {
         let k = *self.by_id.get(&v.upstream)?;
         let u = self.upstreams.get_mut(k)?;
         let s = self.services.get_mut(u.service)?;
@@ -356,13 +356,13 @@
 
     /// Returns the name and the address of an upstream.
     #[must_use]
-    pub fn upstream(&self, k: UpstreamKey) -> Option<(&str, &str)> {
+    pub fn endpoint(&self, k: UpstreamKey) -> Option<(&str, &str)> {
         self.upstreams.get(k).map(|u| (u.name.as_str(), u.addr.as_str()))
     }
 
     /// Returns the number of open attempts.
     #[must_use]
-    pub fn open(&self) -> usize {
+    pub fn open_attempts(&self) -> usize {
         self.attempts.len()
     }
 
@@ -372,7 +372,7 @@
     /// Returns a [`Refusal`] with the time after which to retry.
     pub fn admit(&mut self, k: ServiceKey, now: Time) -> Result<(), Refusal> {
         let Some(s) = self.services.get_mut(k) else { return Ok(()) };
-        let limited = s.rate.as_mut().map_or(Ok(()), |r| r.take(RATE_BURST, now));
+        let limited = s.rate.as_mut().map_or(Ok(()), |r| r.try_acquire(RATE_BURST, now));
         if let Err(wait) = limited {
             let retry_after = jitter(wait, &mut self.rng);
             return Err(Refusal { kind: RefusalKind::Rate, retry_after });
@@ -386,7 +386,7 @@
 
     /// Spends one retry token of the service and returns whether there was one.
     pub fn spend_retry(&mut self, k: ServiceKey) -> bool {
-        self.services.get_mut(k).is_some_and(|s| s.budget.spend())
+        self.services.get_mut(k).is_some_and(|s| s.budget.try_withdraw())
     }
 
     /// Returns the age from which an attempt counts as stalled.
@@ -458,11 +458,11 @@
     }
 
     fn stall_limit(&self) -> Duration {
-        self.latency.limit(self.spec.lean.mix(3.5, 4.5)).min(self.spec.deadline)
+        self.latency.limit(self.spec.lean.interpolate(3.5, 4.5)).min(self.spec.deadline)
     }
 
     fn slow_limit(&self) -> Duration {
-        self.latency.limit(self.spec.lean.mix(3.0, 4.0))
+        self.latency.limit(self.spec.lean.interpolate(3.0, 4.0))
     }
 }
 
--- a/crates/honeypulley_policy/src/router/choice.rs
+++ b/crates/honeypulley_policy/src/router/choice.rs
@@ -5,7 +5,7 @@
     Upstream, UpstreamKey, UpstreamStatus, jitter,
 };
 use crate::collector::Judgement;
-use crate::permits::{Hold, LEASE};
+use crate::permits::{LEASE, PermitState};
 use crate::time::Time;
 use std::time::Duration;
 
@@ -71,8 +71,9 @@
         let max_connections = s.max_connections;
         let median = s.latency.median();
         let may_probe = repeatable || s.spec.repeat == crate::spec::RepeatPolicy::Never;
-        candidates
-            .retain(|(u, c)| *c != Class::Ejected && self.upstreams[*u].out < max_connections);
+        candidates.retain(|(u, c)| {
+            *c != Class::Ejected && self.upstreams[*u].in_flight < max_connections
+        });
         let canaries = of_class(&candidates, |c| c == Class::Probation);
         if may_probe
             && !canaries.is_empty()
@@ -95,7 +96,7 @@
         if let Some(u) = self.cheaper_of_two(&preferred, now) {
             return Ok(self.open_attempt(service, u, Reason::TwoChoices, now));
         }
-        Err(self.refuse(RefusalKind::Full, median))
+        Err(self.refuse(RefusalKind::ConnectionsExhausted, median))
     }
 
     /// Returns the status of all upstreams, for operators.
@@ -119,7 +120,7 @@
                     u.reason(c, valid)
                 },
                 evidence: LocalEvidence { score: s.scores.score(k), counts: s.scores.counts(k) },
-                out: u.out,
+                in_flight: u.in_flight,
             }
         };
         self.classes(s, now).into_iter().map(row).collect()
@@ -170,7 +171,7 @@
         reason: Reason,
         now: Time,
     ) -> Pick {
-        self.upstreams[u].out += 1;
+        self.upstreams[u].in_flight += 1;
         let attempt =
             Attempt { upstream: u, service, started: now, recorded: false, answered: false };
         Pick { attempt: self.attempts.insert(attempt), upstream: u, reason }
@@ -194,10 +195,10 @@
 
     fn class(&self, valid: bool, now: Time) -> Class {
         match self.permit {
-            Some(Hold::Ejected) if valid => return Class::Ejected,
+            Some(PermitState::Ejected) if valid => return Class::Ejected,
             // An expired permit does not eject, but the upstream remains suspect.
-            Some(Hold::Ejected) => return Class::Suspect,
-            Some(Hold::Canary) => return Class::Probation,
+            Some(PermitState::Ejected) => return Class::Suspect,
+            Some(PermitState::Canary) => return Class::Probation,
             _ => {}
         }
         let verdict = self.verdict.map(|h| (h.judgement, now < h.until));
@@ -246,7 +247,7 @@
         // Upstreams that were present when this box started are not new.
         let slow_start = if self.added == Time::ZERO { 1.0 } else { 4.0 - 3.0 * age.min(1.0) };
         let hall = if self.same_hall { 0.0 } else { CROSS_HALL_COST };
-        (1.0 + self.out as f64 + self.fresh_load(now) + hall) * slow_start
+        (1.0 + self.in_flight as f64 + self.fresh_load(now) + hall) * slow_start
     }
 }
 
--- a/crates/honeypulley_policy/src/router/evidence.rs
+++ b/crates/honeypulley_policy/src/router/evidence.rs
@@ -36,12 +36,12 @@
 
 /// Returns the score from which this box alone avoids an upstream.
 pub(super) fn local_threshold(lean: Lean) -> f64 {
-    lean.mix(9.0, 11.0)
+    lean.interpolate(9.0, 11.0)
 }
 
 impl Router {
     /// Records the head of a response; `ok` is false for a failure response.
-    pub fn answered(&mut self, k: AttemptKey, ok: bool, now: Time) {
+    pub fn response_started(&mut self, k: AttemptKey, ok: bool, now: Time) {
         let Some(a) = self.attempts.get_mut(k) else { return };
         a.answered = true;
         let (a, took) = (*a, now.since(a.started));
@@ -54,24 +54,24 @@
             u.is_fast = took < s.latency.limit(FAST_DEVIATIONS);
         }
         s.latency.add(took);
-        s.budget.earn();
+        s.budget.deposit();
         self.record_evidence(k, if slow { Evidence::Slow } else { Evidence::Good }, now);
     }
 
     /// Records the signals that an upstream sent in the head of a response.
-    pub fn signalled(&mut self, k: AttemptKey, s: &Signals, now: Time) -> SignalChanges {
+    pub fn record_signals(&mut self, k: AttemptKey, s: &Signals, now: Time) -> SignalChanges {
         let Some(upstream) = self.attempts.get(k).map(|a| a.upstream) else {
             return SignalChanges::default();
         };
         if let Some(load) = s.load {
-            self.reported_load(upstream, load.busy / load.slots.max(1.0), now);
+            self.record_load(upstream, load.busy / load.slots.max(1.0), now);
         }
         let Some(u) = self.upstreams.get_mut(upstream) else { return SignalChanges::default() };
         let leaving = s.leaving && !u.is_leaving(now);
         let until = s.backoff.map(|wait| now + wait).filter(|t| u.backoff.is_none_or(|b| b < *t));
         u.backoff = until.or(u.backoff);
         if s.leaving {
-            self.drained(upstream, now);
+            self.mark_draining(upstream, now);
         }
         SignalChanges { leaving, backoff: until.is_some(), ..SignalChanges::default() }
     }
@@ -80,7 +80,7 @@
     ///
     /// `load` is the ratio of running and queued requests to slots, so values over 1.0 indicate a
     /// queue.
-    pub fn reported_load(&mut self, k: UpstreamKey, load: f64, now: Time) {
+    pub fn record_load(&mut self, k: UpstreamKey, load: f64, now: Time) {
         if let Some(u) = self.upstreams.get_mut(k) {
             u.load = Some((load, now));
         }
@@ -91,7 +91,7 @@
     /// The announcement is valid until the list no longer contains the upstream or shows it as live
     /// after leaving. It expires after five minutes, in case the upstream restarts faster than the
     /// list is updated.
-    pub fn drained(&mut self, k: UpstreamKey, now: Time) {
+    pub fn mark_draining(&mut self, k: UpstreamKey, now: Time) {
         if let Some(u) = self.upstreams.get_mut(k) {
             u.drained = Some(now);
         }
@@ -100,14 +100,14 @@
     /// Closes an attempt.
     pub fn finish(&mut self, k: AttemptKey, outcome: Outcome, now: Time) {
         match outcome {
-            Outcome::Whole | Outcome::Abandoned => {}
+            Outcome::Completed | Outcome::Cancelled => {}
             // A busy upstream may reject requests, which is a fault only if the others do not.
             Outcome::NotRun => self.record_evidence(k, Evidence::Slow, now),
             Outcome::Failed | Outcome::Refused | Outcome::Unreachable | Outcome::Misdirected => {
                 self.record_evidence(k, Evidence::Failure, now);
             }
-            Outcome::Late => self.record_evidence(k, Evidence::Stalled, now),
-            Outcome::Wrong => {
+            Outcome::TimedOut => self.record_evidence(k, Evidence::Stalled, now),
+            Outcome::Malformed => {
                 if let Some(a) = self.attempts.get_mut(k) {
                     a.recorded = false;
                 }
@@ -116,7 +116,7 @@
         }
         let Some(a) = self.attempts.remove(k) else { return };
         if let Some(u) = self.upstreams.get_mut(a.upstream) {
-            u.out = u.out.saturating_sub(1);
+            u.in_flight = u.in_flight.saturating_sub(1);
         }
     }
 
@@ -182,7 +182,7 @@
                 let u = &mut self.upstreams[k];
                 let (good, bad) = std::mem::take(&mut u.unreported);
                 if good > 0 || bad > 0 {
-                    items.push(ReportItem { upstream: u.id, good, bad });
+                    items.push(ReportItem { upstream: u.id, successes: good, failures: bad });
                 }
             }
             s.urgent = false;
--- a/crates/honeypulley_policy/src/router/refusal.rs
+++ b/crates/honeypulley_policy/src/router/refusal.rs
@@ -10,13 +10,13 @@
     NoUpstream,
     /// This box has reached its connection limit to every live upstream.
     #[error("every upstream is full")]
-    Full,
+    ConnectionsExhausted,
     /// The whole service is so slow that requests would miss their deadline.
     #[error("the service is overloaded")]
     Overload,
     /// The rate limits announced by the live upstreams are all exhausted.
     #[error("the limits that the upstreams name are used up")]
-    Limited,
+    LimitsExhausted,
     /// Every live upstream requested a backoff from this box or has exhausted its limit.
     #[error("every upstream asked for a backoff")]
     Backoff,
--- a/crates/honeypulley_policy/src/routes.rs
+++ b/crates/honeypulley_policy/src/routes.rs
@@ -51,7 +51,7 @@
     /// Maximum time for which a request may be held.
     pub timeout: Option<Duration>,
     /// Target latency.
-    pub aim: Option<Duration>,
+    pub target: Option<Duration>,
     /// Priority; zero is the highest.
     #[builder(default)]
     pub priority: u8,
--- a/crates/honeypulley_policy/src/spec.rs
+++ b/crates/honeypulley_policy/src/spec.rs
@@ -47,7 +47,7 @@
 
     /// Interpolates linearly between the values for detection and for exactness.
     #[must_use]
-    pub fn mix(self, detection: f64, exactness: f64) -> f64 {
+    pub fn interpolate(self, detection: f64, exactness: f64) -> f64 {
         detection + (exactness - detection) * self.0
     }
 }
--- a/crates/honeypulley_policy/tests/balance/choice.rs
+++ b/crates/honeypulley_policy/tests/balance/choice.rs
@@ -1,6 +1,6 @@
 //! Selection by expected loss, beliefs and announcements of one box.
 
-use crate::{RULE, ask, balancer, failure, listed, send};
+use crate::{RULE, balancer, failure, info, listed, send};
 use honeypulley_policy::balance::{Balancer, Update};
 use honeypulley_policy::belief::{Belief, Observation};
 use honeypulley_policy::chooser::RoutingPolicy;
@@ -99,10 +99,10 @@
 /// Returns the probability that the upstream is unhealthy.
 fn fail_after(b: &mut Balancer, from: u64, took: u64) -> f64 {
     let pick =
-        b.pick(&ask(b, false), &[], Time::from_millis(from)).expect("an upstream is available");
+        b.pick(&info(b, false), &[], Time::from_millis(from)).expect("an upstream is available");
     let end = Time::from_millis(from + took);
-    b.answered(pick.attempt, false, end);
-    b.finish(pick.attempt, Outcome::Whole, end);
+    b.response_started(pick.attempt, false, end);
+    b.finish(pick.attempt, Outcome::Completed, end);
     b.status(end)[0].sick
 }
 
@@ -114,12 +114,13 @@
     #[case] is_suspect: bool,
 ) {
     let mut b = balancer(1);
-    let ask = ask(&b, true);
+    let info = info(&b, true);
     for i in 0..30 {
-        let pick = b.pick(&ask, &[], Time::from_millis(i * 300)).expect("an upstream is available");
+        let pick =
+            b.pick(&info, &[], Time::from_millis(i * 300)).expect("an upstream is available");
         let end = Time::from_millis(i * 300 + 240);
-        b.answered(pick.attempt, true, end);
-        b.finish(pick.attempt, Outcome::Whole, end);
+        b.response_started(pick.attempt, true, end);
+        b.finish(pick.attempt, Outcome::Completed, end);
     }
     let sick = fail_after(&mut b, 9_000, took);
     assert_eq!(sick > 0.5, is_suspect, "{sick}");
@@ -182,16 +183,16 @@
 fn an_upstream_removed_from_the_list_gets_no_new_requests() {
     let mut b = balancer(1);
     b.remove_upstream("u0");
-    let refused = b.pick(&ask(&b, true), &[], Time::ZERO).expect_err("no upstream is listed");
+    let refused = b.pick(&info(&b, true), &[], Time::ZERO).expect_err("no upstream is listed");
     assert_eq!(refused.kind, RefusalKind::NoUpstream);
 }
 
 #[test]
 fn a_misdirected_address_is_not_used_again() {
     let mut b = balancer(2);
-    let ask = ask(&b, true);
-    let pick = b.pick(&ask, &[], Time::ZERO).expect("two upstreams are available");
-    let name = b.place(pick.upstream).expect("upstream is known").name.to_owned();
+    let info = info(&b, true);
+    let pick = b.pick(&info, &[], Time::ZERO).expect("two upstreams are available");
+    let name = b.endpoint(pick.upstream).expect("upstream is known").name.to_owned();
     b.finish(pick.attempt, Outcome::Misdirected, Time::from_millis(1));
     let picks = send(&mut b, 50, 10, true);
     assert!(!picks.contains_key(&name), "{picks:?}");
@@ -209,11 +210,11 @@
 fn the_own_data_hall_is_preferred_until_it_is_full() {
     let mut b = balancer(1);
     b.set_upstream(listed("far", "elsewhere", MemberState::Live), Time::ZERO);
-    let ask = ask(&b, true);
+    let info = info(&b, true);
     let mut near = 0;
     for _ in 0..8 {
-        let pick = b.pick(&ask, &[], Time::ZERO).expect("two upstreams are available");
-        near += usize::from(b.place(pick.upstream).expect("upstream is known").name == "u0");
+        let pick = b.pick(&info, &[], Time::ZERO).expect("two upstreams are available");
+        near += usize::from(b.endpoint(pick.upstream).expect("upstream is known").name == "u0");
     }
     assert!(
         (3..=5).contains(&near),
@@ -256,17 +257,17 @@
 /// Returns the probability of being unhealthy for each.
 fn chances_after_sheds(sheds: impl Fn(&str, u64) -> bool) -> BTreeMap<String, f64> {
     let mut b = balancer(10);
-    let ask = ask(&b, false);
+    let info = info(&b, false);
     for i in 0..400 {
         let now = Time::from_millis(10 + i * 10);
-        b.record_request(ask.service, now);
-        let pick = b.pick(&ask, &[], now).expect("upstreams are available");
-        let name = b.place(pick.upstream).expect("upstream is known").name.to_owned();
+        b.record_request(info.service, now);
+        let pick = b.pick(&info, &[], now).expect("upstreams are available");
+        let name = b.endpoint(pick.upstream).expect("upstream is known").name.to_owned();
         if sheds(&name, i) {
             b.finish(pick.attempt, Outcome::NotRun, now);
         } else {
-            b.answered(pick.attempt, true, now);
-            b.finish(pick.attempt, Outcome::Whole, now);
+            b.response_started(pick.attempt, true, now);
+            b.finish(pick.attempt, Outcome::Completed, now);
         }
     }
     let status = b.status(Time::from_millis(4_010));
--- a/crates/honeypulley_policy/tests/balance/halls.rs
+++ b/crates/honeypulley_policy/tests/balance/halls.rs
@@ -5,7 +5,7 @@
 //! costs 2.8 requests to gain one. Of 72 downloads per second 15 left while some local
 //! upstreams were suspect.
 
-use crate::{RULE, ask, listed, report_load};
+use crate::{RULE, info, listed, report_load};
 use honeypulley_policy::balance::{Balancer, RetryHistory, Update};
 use honeypulley_policy::belief::Observation;
 use honeypulley_policy::chooser::{RequestInfo, RoutingPolicy};
@@ -42,16 +42,17 @@
 
 /// Sends 60 requests, 20 ms apart, with answers of `bytes`; returns how many left the data
 /// hall.
-fn count_leaving(b: &mut Balancer, ask: &RequestInfo, bytes: u64, from: u64) -> usize {
+fn count_leaving(b: &mut Balancer, info: &RequestInfo, bytes: u64, from: u64) -> usize {
     let mut left = 0;
     for i in 0..60 {
         let now = Time::from_millis(from + i * 20);
-        let pick = b.pick(ask, &[], now).expect("upstreams are available");
-        left +=
-            usize::from(b.place(pick.upstream).expect("upstream is known").name.starts_with("far"));
-        b.answered(pick.attempt, true, now);
-        b.sized(pick.attempt, bytes);
-        b.finish(pick.attempt, Outcome::Whole, now);
+        let pick = b.pick(info, &[], now).expect("upstreams are available");
+        left += usize::from(
+            b.endpoint(pick.upstream).expect("upstream is known").name.starts_with("far"),
+        );
+        b.response_started(pick.attempt, true, now);
+        b.record_size(pick.attempt, bytes);
+        b.finish(pick.attempt, Outcome::Completed, now);
     }
     left
 }
@@ -75,10 +76,10 @@
     #[case] most: usize,
 ) {
     let mut b = two_halls(TRANSFER_COST);
-    let ask = RequestInfo { large_response: bytes == DOWNLOAD, ..ask(&b, true) };
-    count_leaving(&mut b, &ask, bytes, 6_000);
+    let info = RequestInfo { large_response: bytes == DOWNLOAD, ..info(&b, true) };
+    count_leaving(&mut b, &info, bytes, 6_000);
     suspect_local(&mut b, 8_000);
-    let left = count_leaving(&mut b, &ask, bytes, 8_010);
+    let left = count_leaving(&mut b, &info, bytes, 8_010);
     assert!((least..=most).contains(&left), "{left} of 60 requests left the data hall");
 }
 
@@ -86,12 +87,12 @@
 #[test]
 fn answer_sizes_are_learned() {
     let mut b = two_halls(TRANSFER_COST);
-    let ask = RequestInfo { large_response: true, ..ask(&b, true) };
+    let info = RequestInfo { large_response: true, ..info(&b, true) };
     for n in 0..4 {
-        count_leaving(&mut b, &ask, PAGE, 6_000 + n * 1_500);
+        count_leaving(&mut b, &info, PAGE, 6_000 + n * 1_500);
     }
     suspect_local(&mut b, 13_000);
-    let left = count_leaving(&mut b, &ask, PAGE, 13_010);
+    let left = count_leaving(&mut b, &info, PAGE, 13_010);
     assert!(left >= 20, "{left} of 60 requests left the data hall, with answers of 1.5 kB");
 }
 
@@ -99,31 +100,31 @@
 #[test]
 fn downloads_leave_when_transfers_are_cheap() {
     let mut b = two_halls(1.0);
-    let ask = RequestInfo { large_response: true, ..ask(&b, true) };
-    count_leaving(&mut b, &ask, DOWNLOAD, 6_000);
+    let info = RequestInfo { large_response: true, ..info(&b, true) };
+    count_leaving(&mut b, &info, DOWNLOAD, 6_000);
     suspect_local(&mut b, 8_000);
-    assert!(count_leaving(&mut b, &ask, DOWNLOAD, 8_010) >= 20);
+    assert!(count_leaving(&mut b, &info, DOWNLOAD, 8_010) >= 20);
 }
 
 /// Downloads leave a full data hall, since a long queue costs more.
 #[test]
 fn downloads_leave_a_full_data_hall() {
     let mut b = two_halls(TRANSFER_COST);
-    let ask = RequestInfo { large_response: true, ..ask(&b, true) };
+    let info = RequestInfo { large_response: true, ..info(&b, true) };
     for n in 0..20 {
         let now = Time::from_millis(6_000 + n * 400);
-        let pick = b.pick(&ask, &[], now).expect("upstreams are available");
+        let pick = b.pick(&info, &[], now).expect("upstreams are available");
         let later = now + DOWNLOAD_TIME;
-        b.answered(pick.attempt, true, later);
-        b.finish(pick.attempt, Outcome::Whole, later);
+        b.response_started(pick.attempt, true, later);
+        b.finish(pick.attempt, Outcome::Completed, later);
     }
     let now = Time::from_millis(14_000);
-    let picks: Vec<_> = (0..40).filter_map(|_| b.pick(&ask, &[], now).ok()).collect();
+    let picks: Vec<_> = (0..40).filter_map(|_| b.pick(&info, &[], now).ok()).collect();
     for p in &picks {
-        if b.place(p.upstream).expect("upstream is known").name.starts_with("near") {
+        if b.endpoint(p.upstream).expect("upstream is known").name.starts_with("near") {
             report_load(&mut b, p, 30.0, now);
         }
     }
-    let pick = b.pick(&ask, &[], now).expect("upstreams are available");
-    assert!(b.place(pick.upstream).expect("upstream is known").name.starts_with("far"));
+    let pick = b.pick(&info, &[], now).expect("upstreams are available");
+    assert!(b.endpoint(pick.upstream).expect("upstream is known").name.starts_with("far"));
 }
--- a/crates/honeypulley_policy/tests/balance/lives.rs
+++ b/crates/honeypulley_policy/tests/balance/lives.rs
@@ -1,6 +1,6 @@
 //! Restarts of upstreams: state of the previous incarnation is dropped.
 
-use crate::{ask, balancer, failure, listed, report_load, send};
+use crate::{balancer, failure, info, listed, report_load, send};
 use honeypulley_policy::balance::{Balancer, Update, UpstreamEntry};
 use honeypulley_policy::belief::Observation;
 use honeypulley_policy::chooser::RoutingPolicy;
@@ -29,13 +29,13 @@
 
 /// Sends requests until one goes to `u0`, and returns that one.
 fn pick_u0(b: &mut Balancer, now: Time) -> Pick {
-    let ask = ask(b, true);
+    let info = info(b, true);
     loop {
-        let pick = b.pick(&ask, &[], now).expect("two upstreams are available");
-        if b.place(pick.upstream).expect("upstream is known").name == "u0" {
+        let pick = b.pick(&info, &[], now).expect("two upstreams are available");
+        if b.endpoint(pick.upstream).expect("upstream is known").name == "u0" {
             return pick;
         }
-        b.finish(pick.attempt, Outcome::Whole, now);
+        b.finish(pick.attempt, Outcome::Completed, now);
     }
 }
 
@@ -79,7 +79,7 @@
     let mut b = two_upstreams();
     let pick = pick_u0(&mut b, Time::ZERO);
     report_load(&mut b, &pick, 40.0, Time::ZERO);
-    b.finish(pick.attempt, Outcome::Whole, Time::ZERO);
+    b.finish(pick.attempt, Outcome::Completed, Time::ZERO);
     b.set_upstream(incarnation("u0", 2_000), at(1));
     assert!(share_of_u0(&mut b, 2) > 0.3);
 }
--- a/crates/honeypulley_policy/tests/balance/main.rs
+++ b/crates/honeypulley_policy/tests/balance/main.rs
@@ -48,31 +48,31 @@
 }
 
 /// Returns a request with a latency target of one second and two seconds left.
-fn ask(b: &Balancer, repeatable: bool) -> RequestInfo {
+fn info(b: &Balancer, repeatable: bool) -> RequestInfo {
     let service = b.service("s").expect("service is configured");
     RequestInfo {
         service,
         repeatable,
         priority: 0,
         large_response: false,
-        aim: Some(Duration::from_secs(1)),
-        left: Some(Duration::from_secs(2)),
+        target: Some(Duration::from_secs(1)),
+        remaining: Some(Duration::from_secs(2)),
         route: NameId::of("r"),
     }
 }
 
 /// Sends `n` requests, 10 ms apart from `from` ms on; returns the count for each upstream.
 fn send(b: &mut Balancer, n: u64, from: u64, repeatable: bool) -> BTreeMap<String, usize> {
-    let ask = ask(b, repeatable);
+    let info = info(b, repeatable);
     let mut picks = BTreeMap::new();
     for i in 0..n {
         let now = Time::from_millis(from + i * 10);
-        let pick = b.pick(&ask, &[], now).expect("upstreams are available");
+        let pick = b.pick(&info, &[], now).expect("upstreams are available");
         *picks
-            .entry(b.place(pick.upstream).expect("upstream is known").name.to_owned())
+            .entry(b.endpoint(pick.upstream).expect("upstream is known").name.to_owned())
             .or_default() += 1;
-        b.answered(pick.attempt, true, now);
-        b.finish(pick.attempt, Outcome::Whole, now);
+        b.response_started(pick.attempt, true, now);
+        b.finish(pick.attempt, Outcome::Completed, now);
     }
     picks
 }
@@ -80,12 +80,12 @@
 /// Reports a load, for three slots, in the answer to an attempt.
 fn report_load(b: &mut Balancer, pick: &Pick, busy: f64, now: Time) {
     let load = Some(LoadReport { busy, slots: 3.0 });
-    b.signalled(pick.attempt, &Signals { load, ..Signals::default() }, now);
+    b.record_signals(pick.attempt, &Signals { load, ..Signals::default() }, now);
 }
 
 /// Advertises a rate limit or none in the answer to an attempt; returns whether it changed.
 fn advertise(b: &mut Balancer, pick: &Pick, limit: Option<f64>, now: Time) -> bool {
-    let changes = b.signalled(pick.attempt, &Signals { limit, ..Signals::default() }, now);
+    let changes = b.record_signals(pick.attempt, &Signals { limit, ..Signals::default() }, now);
     if limit.is_none() { b.clear_limit(pick.attempt) } else { changes.limit }
 }
 
--- a/crates/honeypulley_policy/tests/balance/named.rs
+++ b/crates/honeypulley_policy/tests/balance/named.rs
@@ -1,6 +1,6 @@
 //! Rate limits that upstreams advertise.
 
-use super::{RULE, advertise, ask, balancer, listed};
+use super::{RULE, advertise, balancer, info, listed};
 use honeypulley_policy::balance::{Balancer, FleetScope, RetryHistory, Update, UpstreamEntry};
 use honeypulley_policy::chooser::{RequestInfo, RoutingPolicy};
 use honeypulley_policy::collector::NameId;
@@ -16,21 +16,21 @@
 }
 
 fn upstream_name(b: &Balancer, p: &Pick) -> String {
-    b.place(p.upstream).expect("upstream is known").name.to_owned()
+    b.endpoint(p.upstream).expect("upstream is known").name.to_owned()
 }
 
 /// Sends a request whose answer advertises a limit or none; returns its upstream.
 ///
 /// Only the upstreams in `advertisers` advertise, or all if it is empty.
 fn send_one(b: &mut Balancer, advertisers: &[&str], limit: Option<f64>, ms: u64) -> Option<String> {
-    let ask = ask(b, false);
-    let p = b.pick(&ask, &[], at(ms)).ok()?;
+    let info = info(b, false);
+    let p = b.pick(&info, &[], at(ms)).ok()?;
     let name = upstream_name(b, &p);
-    b.answered(p.attempt, true, at(ms + 1));
+    b.response_started(p.attempt, true, at(ms + 1));
     if advertisers.is_empty() || advertisers.contains(&name.as_str()) {
         advertise(b, &p, limit, at(ms + 1));
     }
-    b.finish(p.attempt, Outcome::Whole, at(ms + 1));
+    b.finish(p.attempt, Outcome::Completed, at(ms + 1));
     Some(name)
 }
 
@@ -99,20 +99,20 @@
 #[test]
 fn retries_take_tokens() {
     let mut b = balancer(2);
-    let ask = ask(&b, true);
+    let info = info(&b, true);
     for u in ["u0", "u1"] {
         let news = Update::Limit { upstream: NameId::of(u), rate: Some(0.1) };
         b.apply_update(NameId(9), news, at(0));
     }
     let mut sent = 0;
     for ms in (0..4_000).step_by(10) {
-        let Ok(first) = b.pick(&ask, &[], at(ms)) else { continue };
+        let Ok(first) = b.pick(&info, &[], at(ms)) else { continue };
         sent += 1;
-        if let Ok(second) = b.pick(&ask, &[first.upstream], at(ms)) {
+        if let Ok(second) = b.pick(&info, &[first.upstream], at(ms)) {
             sent += 1;
-            b.finish(second.attempt, Outcome::Whole, at(ms));
+            b.finish(second.attempt, Outcome::Completed, at(ms));
         }
-        b.finish(first.attempt, Outcome::Whole, at(ms));
+        b.finish(first.attempt, Outcome::Completed, at(ms));
     }
     assert!(
         sent <= 2 * (2 + 1),
@@ -137,8 +137,8 @@
 #[test]
 fn an_attempt_older_than_the_limit_lifts_nothing() {
     let mut b = balancer(1);
-    let ask = ask(&b, false);
-    let early = b.pick(&ask, &[], at(0)).expect("an upstream is available");
+    let info = info(&b, false);
+    let early = b.pick(&info, &[], at(0)).expect("an upstream is available");
     announce_limit(&mut b, Some(1.0), 10);
     assert!(!advertise(&mut b, &early, None, at(20)), "the attempt is older than the limit");
     let limit = b.advertised_limit(early.upstream, at(20)).expect("the limit still applies");
@@ -172,8 +172,8 @@
 fn a_limit_without_renewal_expires() {
     let mut b = balancer(1);
     announce_limit(&mut b, Some(1.0), 0);
-    let ask = ask(&b, false);
-    let p = b.pick(&ask, &[], at(100)).expect("the limit is not exhausted");
+    let info = info(&b, false);
+    let p = b.pick(&info, &[], at(100)).expect("the limit is not exhausted");
     assert!(b.advertised_limit(p.upstream, at(29_000)).is_some());
     assert!(b.advertised_limit(p.upstream, at(31_000)).is_none());
 }
@@ -244,18 +244,18 @@
 fn unsafe_requests_go_first_and_others_get_a_retry_after() {
     let mut b = balancer(1);
     announce_limit(&mut b, Some(4.0), 0);
-    let (order, read) = (ask(&b, false), ask(&b, true));
+    let (order, read) = (info(&b, false), info(&b, true));
     let mut served = [0; 2];
     for ms in (0..20_000).step_by(50) {
-        for (i, ask) in [read, order].into_iter().enumerate() {
-            match b.pick(&ask, &[], at(ms)) {
+        for (i, info) in [read, order].into_iter().enumerate() {
+            match b.pick(&info, &[], at(ms)) {
                 Ok(p) => {
                     served[i] += 1;
                     advertise(&mut b, &p, Some(4.0), at(ms + 1));
-                    b.finish(p.attempt, Outcome::Whole, at(ms + 1));
+                    b.finish(p.attempt, Outcome::Completed, at(ms + 1));
                 }
                 Err(r) => {
-                    assert_eq!(r.kind, RefusalKind::Limited);
+                    assert_eq!(r.kind, RefusalKind::LimitsExhausted);
                     let wait = r.retry_after;
                     assert!(wait >= Duration::from_millis(100) && wait <= Duration::from_secs(3));
                 }
@@ -295,15 +295,15 @@
 fn urgent_requests_take_precedence() {
     let mut b = balancer(1);
     announce_limit(&mut b, Some(4.0), 0);
-    let usual = ask(&b, false);
+    let usual = info(&b, false);
     let low = RequestInfo { priority: 2, ..usual };
     let mut served = [0; 2];
     for ms in (0..20_000).step_by(50) {
-        for (i, ask) in [low, usual].into_iter().enumerate() {
-            if let Ok(p) = b.pick(&ask, &[], at(ms)) {
+        for (i, info) in [low, usual].into_iter().enumerate() {
+            if let Ok(p) = b.pick(&info, &[], at(ms)) {
                 served[i] += 1;
                 advertise(&mut b, &p, Some(4.0), at(ms + 1));
-                b.finish(p.attempt, Outcome::Whole, at(ms + 1));
+                b.finish(p.attempt, Outcome::Completed, at(ms + 1));
             }
         }
     }
@@ -320,8 +320,8 @@
     count_u0(&mut b, 0, 3_000, Some(1.0));
     b.remove_upstream("u0");
     b.set_upstream(listed("u0", "h", MemberState::Live), at(3_100));
-    let ask = ask(&b, false);
-    let picks: Vec<Pick> = (0..20).filter_map(|_| b.pick(&ask, &[], at(3_110)).ok()).collect();
+    let info = info(&b, false);
+    let picks: Vec<Pick> = (0..20).filter_map(|_| b.pick(&info, &[], at(3_110)).ok()).collect();
     let got = picks.iter().filter(|p| upstream_name(&b, p) == "u0").count();
     assert!(got <= 3, "{got} requests at once before any answer, with a limit of 1/s");
 }
--- a/crates/honeypulley_policy/tests/balance/open_attempts.rs
+++ b/crates/honeypulley_policy/tests/balance/open_attempts.rs
@@ -1,6 +1,6 @@
 //! Evidence from attempts in flight and load reports, and admission control.
 
-use crate::{ask, balancer, report_load, send};
+use crate::{balancer, info, report_load, send};
 use honeypulley_policy::balance::{Balancer, Update};
 use honeypulley_policy::belief::Observation;
 use honeypulley_policy::chooser::{RequestInfo, RoutingPolicy};
@@ -22,11 +22,11 @@
 #[test]
 fn a_load_report_decays() {
     let mut b = balancer(2);
-    let ask = ask(&b, true);
-    let pick = b.pick(&ask, &[], Time::ZERO).expect("two upstreams are available");
-    let name = b.place(pick.upstream).expect("upstream is known").name.to_owned();
+    let info = info(&b, true);
+    let pick = b.pick(&info, &[], Time::ZERO).expect("two upstreams are available");
+    let name = b.endpoint(pick.upstream).expect("upstream is known").name.to_owned();
     report_load(&mut b, &pick, 15.0, Time::ZERO);
-    b.finish(pick.attempt, Outcome::Whole, Time::ZERO);
+    b.finish(pick.attempt, Outcome::Completed, Time::ZERO);
     assert_eq!(send(&mut b, 20, 1, true).get(&name), None);
     assert!(send(&mut b, 50, 15_000, true).contains_key(&name));
 }
@@ -34,8 +34,8 @@
 #[test]
 fn attempts_are_announced_in_the_hall_and_failures_to_all() {
     let mut b = balancer(1);
-    let ask = ask(&b, true);
-    let pick = b.pick(&ask, &[], Time::ZERO).expect("an upstream is available");
+    let info = info(&b, true);
+    let pick = b.pick(&info, &[], Time::ZERO).expect("an upstream is available");
     b.finish(pick.attempt, Outcome::Failed, Time::from_millis(1));
     let upstream = NameId::of("u0");
     let announced = b.take_updates();
@@ -78,13 +78,13 @@
 #[test]
 fn an_attempt_outlives_its_upstream() {
     let mut b = balancer(1);
-    let ask = ask(&b, true);
-    let pick = b.pick(&ask, &[], Time::ZERO).expect("an upstream is available");
+    let info = info(&b, true);
+    let pick = b.pick(&info, &[], Time::ZERO).expect("an upstream is available");
     b.remove_upstream("u0");
     let later = Time::from_millis(900);
-    b.is_in_flight(pick.attempt, later);
-    assert_eq!(b.hedge(&ask, pick.attempt, later), None);
-    b.finish(pick.attempt, Outcome::Abandoned, later);
+    b.record_in_flight(pick.attempt, later);
+    assert_eq!(b.hedge_value(&info, pick.attempt, later), None);
+    b.finish(pick.attempt, Outcome::Cancelled, later);
 }
 
 /// Guards against hedges that are sent as late as the whole latency target.
@@ -95,10 +95,10 @@
 fn a_look_that_is_a_moment_early_is_followed_at_once() {
     let mut b = balancer(2);
     send(&mut b, 200, 10, true);
-    let ask = ask(&b, true);
-    let first = b.recheck_delay(&ask, Duration::ZERO);
+    let info = info(&b, true);
+    let first = b.recheck_delay(&info, Duration::ZERO);
     let early = first - Duration::from_millis(1);
-    let next = b.recheck_delay(&ask, early);
+    let next = b.recheck_delay(&info, early);
     assert!(next <= Duration::from_millis(10), "{next:?} after {early:?}");
 }
 
@@ -113,12 +113,12 @@
 #[test]
 fn a_standing_queue_is_refused_and_a_transient_one_is_not() {
     let mut b = balancer(2);
-    let ask = ask(&b, true);
+    let info = info(&b, true);
     let mut refused = Vec::new();
     for ms in (10..2_500).step_by(100) {
         let now = Time::from_millis(ms);
         announce_queue(&mut b, 2, 7, now);
-        match b.pick(&ask, &[], now) {
+        match b.pick(&info, &[], now) {
             Ok(p) => b.finish(p.attempt, Outcome::NotRun, now),
             Err(r) => {
                 assert_eq!(r.kind, RefusalKind::Overload);
@@ -130,15 +130,15 @@
     assert!(refused.first().is_some_and(|&ms| (400..1_500).contains(&ms)), "{refused:?}");
     let later = Time::from_millis(2_600);
     announce_queue(&mut b, 2, 0, later);
-    assert!(b.pick(&ask, &[], later).is_ok(), "the queue is empty again");
+    assert!(b.pick(&info, &[], later).is_ok(), "the queue is empty again");
 }
 
 #[test]
 fn a_request_that_would_queue_beyond_its_time_limit_is_refused() {
     let mut b = balancer(2);
     announce_queue(&mut b, 2, 40, Time::from_millis(10));
-    let ask = ask(&b, false);
-    let refused = b.pick(&ask, &[], Time::from_millis(20)).expect_err("both upstreams are full");
+    let info = info(&b, false);
+    let refused = b.pick(&info, &[], Time::from_millis(20)).expect_err("both upstreams are full");
     assert_eq!(refused.kind, RefusalKind::Overload);
 }
 
@@ -146,27 +146,27 @@
 #[test]
 fn a_request_without_queueing_is_sent_however_short_its_time_limit() {
     let mut b = balancer(2);
-    let ask = RequestInfo { left: Some(Duration::from_millis(100)), ..ask(&b, true) };
-    assert!(b.pick(&ask, &[], Time::ZERO).is_ok());
+    let info = RequestInfo { remaining: Some(Duration::from_millis(100)), ..info(&b, true) };
+    assert!(b.pick(&info, &[], Time::ZERO).is_ok());
 }
 
 /// A load report's share of other data halls is announced within the data hall.
 #[test]
 fn load_of_other_halls_is_announced_in_the_hall() {
     let mut b = balancer(1);
-    let ask = ask(&b, true);
+    let info = info(&b, true);
     let now = Time::from_millis(100);
-    let pick = b.pick(&ask, &[], Time::ZERO).expect("an upstream is available");
+    let pick = b.pick(&info, &[], Time::ZERO).expect("an upstream is available");
     report_load(&mut b, &pick, 4.0, now);
-    b.answered(pick.attempt, true, now);
-    b.finish(pick.attempt, Outcome::Whole, now);
+    b.response_started(pick.attempt, true, now);
+    b.finish(pick.attempt, Outcome::Completed, now);
     let upstream = NameId::of("u0");
     let announced =
         Update::Ended { upstream, count: 0, served: true, remote: Some(3), age: Duration::ZERO };
     assert!(b.take_updates().contains(&announced));
     let mut other = balancer(1);
     other.apply_update(NameId::of("peer"), announced, now);
-    let pick = other.pick(&ask, &[], now).expect("an upstream is available");
+    let pick = other.pick(&info, &[], now).expect("an upstream is available");
     assert!(
         other.inputs(pick.upstream, now).busy > 3.5,
         "its own request and three of other data halls"
@@ -192,14 +192,14 @@
         let open = Update::Open { upstream, count: 1 };
         b.apply_update(NameId::of("peer"), open, Time::from_millis(100));
         let rows = b.status(Time::from_millis(101));
-        let ask = ask(&b, true);
-        let pick = b.pick(&ask, &[], Time::from_millis(101)).expect("two upstreams are available");
-        let name = b.place(pick.upstream).expect("upstream is known").name.to_owned();
+        let info = info(&b, true);
+        let pick = b.pick(&info, &[], Time::from_millis(101)).expect("two upstreams are available");
+        let name = b.endpoint(pick.upstream).expect("upstream is known").name.to_owned();
         assert_eq!(rows.len(), 2);
         let (tried, now) = ([pick.upstream], Time::from_millis(900));
-        let other = b.pick(&ask, &tried, now).expect("another upstream is available").upstream;
+        let other = b.pick(&info, &tried, now).expect("another upstream is available").upstream;
         let key = if name == "u0" { pick.upstream } else { other };
-        b.inputs(key, now).sick
+        b.inputs(key, now).unhealthy
     };
     assert_eq!(sick(Some(usual)) > sick(None), is_stronger);
 }
--- a/crates/honeypulley_policy/tests/balance/signals.rs
+++ b/crates/honeypulley_policy/tests/balance/signals.rs
@@ -1,6 +1,6 @@
 //! Signals that upstreams send in their answers, and how long they apply.
 
-use super::{ask, balancer, listed, send};
+use super::{balancer, info, listed, send};
 use honeypulley_policy::balance::{Balancer, Update, UpstreamEntry};
 use honeypulley_policy::chooser::RoutingPolicy;
 use honeypulley_policy::collector::NameId;
@@ -19,13 +19,13 @@
 
 /// Sends requests until one goes to `name`, and returns that one.
 fn pick(b: &mut Balancer, name: &str, ms: u64) -> Pick {
-    let ask = ask(b, true);
+    let info = info(b, true);
     for _ in 0..1_000 {
-        let p = b.pick(&ask, &[], at(ms)).expect("upstreams are available");
-        if b.place(p.upstream).expect("upstream is known").name == name {
+        let p = b.pick(&info, &[], at(ms)).expect("upstreams are available");
+        if b.endpoint(p.upstream).expect("upstream is known").name == name {
             return p;
         }
-        b.finish(p.attempt, Outcome::Abandoned, at(ms));
+        b.finish(p.attempt, Outcome::Cancelled, at(ms));
     }
     panic!("{name} is never selected");
 }
@@ -33,9 +33,9 @@
 /// Announces the shutdown of `u0` in an answer.
 fn announce_shutdown(b: &mut Balancer, ms: u64) {
     let p = pick(b, "u0", ms);
-    assert!(b.signalled(p.attempt, &LEAVING, at(ms)).leaving, "the announcement is new");
-    b.answered(p.attempt, true, at(ms));
-    b.finish(p.attempt, Outcome::Whole, at(ms));
+    assert!(b.record_signals(p.attempt, &LEAVING, at(ms)).leaving, "the announcement is new");
+    b.response_started(p.attempt, true, at(ms));
+    b.finish(p.attempt, Outcome::Completed, at(ms));
 }
 
 /// Returns how many of 200 requests within two seconds `u0` gets.
@@ -105,8 +105,8 @@
 fn a_service_whose_upstreams_all_leave_is_refused_at_once() {
     let mut b = balancer(1);
     announce_shutdown(&mut b, 0);
-    let ask = ask(&b, true);
-    let refused = b.pick(&ask, &[], at(10)).expect_err("no upstream takes new requests");
+    let info = info(&b, true);
+    let refused = b.pick(&info, &[], at(10)).expect_err("no upstream takes new requests");
     assert_eq!(refused.kind, RefusalKind::NoUpstream);
     assert!(!refused.retry_after.is_zero());
 }
@@ -128,7 +128,7 @@
     let p = pick(&mut b, "u0", 0);
     announce_shutdown(&mut b, 10);
     assert!(!b.has_restarted(p.upstream));
-    assert!(b.place(p.upstream).is_some());
+    assert!(b.endpoint(p.upstream).is_some());
 }
 
 fn backoff(ms: u64) -> Signals {
@@ -138,20 +138,20 @@
 /// Has `u0` shed a request and ask for a backoff; returns whether this extends its backoff.
 fn reject(b: &mut Balancer, from_ms: u64, backoff_ms: u64) -> bool {
     let p = pick(b, "u0", from_ms);
-    let is_later = b.signalled(p.attempt, &backoff(backoff_ms), at(from_ms)).backoff;
+    let is_later = b.record_signals(p.attempt, &backoff(backoff_ms), at(from_ms)).backoff;
     b.finish(p.attempt, Outcome::NotRun, at(from_ms));
     is_later
 }
 
 /// Sends requests, 10 ms apart, and counts those that `u0` gets.
 fn count_u0(b: &mut Balancer, repeatable: bool, (from, to): (u64, u64)) -> usize {
-    let ask = ask(b, repeatable);
+    let info = info(b, repeatable);
     let mut count = 0;
     for ms in (from..to).step_by(10) {
-        let Ok(p) = b.pick(&ask, &[], at(ms)) else { continue };
-        count += usize::from(b.place(p.upstream).expect("upstream is known").name == "u0");
-        b.answered(p.attempt, true, at(ms));
-        b.finish(p.attempt, Outcome::Whole, at(ms));
+        let Ok(p) = b.pick(&info, &[], at(ms)) else { continue };
+        count += usize::from(b.endpoint(p.upstream).expect("upstream is known").name == "u0");
+        b.response_started(p.attempt, true, at(ms));
+        b.finish(p.attempt, Outcome::Completed, at(ms));
     }
     count
 }
@@ -179,26 +179,26 @@
 fn a_retry_skips_an_upstream_in_backoff() {
     let mut b = balancer(2);
     reject(&mut b, 0, 3_000);
-    let ask = ask(&b, true);
-    let first = b.pick(&ask, &[], at(10)).expect("u1 is available");
-    let refused = b.pick(&ask, &[first.upstream], at(20)).expect_err("u0 is in backoff");
+    let info = info(&b, true);
+    let first = b.pick(&info, &[], at(10)).expect("u1 is available");
+    let refused = b.pick(&info, &[first.upstream], at(20)).expect_err("u0 is in backoff");
     assert_eq!(refused.kind, RefusalKind::Backoff);
 }
 
 #[test]
 fn with_all_upstreams_in_backoff_requests_are_refused_until_the_first_backoff_ends() {
     let mut b = balancer(2);
-    let ask = ask(&b, true);
+    let info = info(&b, true);
     for (wait, ms) in [(1_000, 0), (700, 1)] {
-        let p = b.pick(&ask, &[], at(ms)).expect("one upstream is available");
-        b.signalled(p.attempt, &backoff(wait), at(ms));
+        let p = b.pick(&info, &[], at(ms)).expect("one upstream is available");
+        b.record_signals(p.attempt, &backoff(wait), at(ms));
         b.finish(p.attempt, Outcome::NotRun, at(ms));
     }
-    let refused = b.pick(&ask, &[], at(2)).expect_err("both upstreams are in backoff");
+    let refused = b.pick(&info, &[], at(2)).expect_err("both upstreams are in backoff");
     assert_eq!(refused.kind, RefusalKind::Backoff);
     let ms = refused.retry_after.as_millis();
     assert!((699..1_160).contains(&ms), "{ms} ms");
-    assert!(b.pick(&ask, &[], at(800)).is_ok());
+    assert!(b.pick(&info, &[], at(800)).is_ok());
 }
 
 #[rstest]
@@ -211,8 +211,8 @@
 ) {
     let mut b = balancer(1);
     let [p, q] = [pick(&mut b, "u0", 0), pick(&mut b, "u0", 0)];
-    assert!(b.signalled(p.attempt, &backoff(first), at(0)).backoff);
-    assert_eq!(b.signalled(q.attempt, &backoff(second), at(10)).backoff, is_later);
+    assert!(b.record_signals(p.attempt, &backoff(first), at(0)).backoff);
+    assert_eq!(b.record_signals(q.attempt, &backoff(second), at(10)).backoff, is_later);
     assert_eq!(count_u0(&mut b, true, (20, 3_000)), 0);
 }
 
@@ -238,7 +238,7 @@
     b.take_updates();
     let p = pick(&mut b, "u0", 0);
     b.take_updates();
-    b.signalled(p.attempt, &backoff(3_000), at(0));
+    b.record_signals(p.attempt, &backoff(3_000), at(0));
     assert!(b.take_updates().is_empty());
 }
 
@@ -259,14 +259,14 @@
     b.remove_upstream("u0");
     b.remove_upstream("u1");
     b.take_updates();
-    assert!(b.signalled(p.attempt, &LEAVING, at(10)).leaving);
+    assert!(b.record_signals(p.attempt, &LEAVING, at(10)).leaving);
     assert!(b.take_updates().contains(&Update::Leaving { upstream: NameId::of("u0") }));
-    assert!(b.signalled(q.attempt, &backoff(3_000), at(10)).backoff);
+    assert!(b.record_signals(q.attempt, &backoff(3_000), at(10)).backoff);
     for name in ["u0", "u1"] {
         b.set_upstream(listed(name, "h", MemberState::Live), at(100));
     }
-    let ask = ask(&b, true);
+    let info = info(&b, true);
     let refused =
-        b.pick(&ask, &[], at(110)).expect_err("one upstream is leaving, the other in backoff");
+        b.pick(&info, &[], at(110)).expect_err("one upstream is leaving, the other in backoff");
     assert_eq!(refused.kind, RefusalKind::Backoff);
 }
--- a/crates/honeypulley_policy/tests/collector.rs
+++ b/crates/honeypulley_policy/tests/collector.rs
@@ -23,8 +23,11 @@
 }
 
 fn report(b: usize, items: &[(usize, u16, u16)]) -> Report {
-    let item =
-        |&(u, good, bad): &(usize, u16, u16)| ReportItem { upstream: upstream_id(u), good, bad };
+    let item = |&(u, good, bad): &(usize, u16, u16)| ReportItem {
+        upstream: upstream_id(u),
+        successes: good,
+        failures: bad,
+    };
     Report {
         service: NameId::of("tilldogs"),
         reporter: reporter(b),
@@ -38,7 +41,7 @@
     at: u64,
     items: impl Fn(usize) -> Vec<(usize, u16, u16)>,
 ) -> Vec<Verdict> {
-    (0..BOXES).flat_map(|b| c.report(&report(b, &items(b)), Time::from_millis(at))).collect()
+    (0..BOXES).flat_map(|b| c.apply_report(&report(b, &items(b)), Time::from_millis(at))).collect()
 }
 
 fn warm_up(c: &mut Collector) {
@@ -67,14 +70,14 @@
     for t in 0..60 {
         let b = t as usize % BOXES;
         let one = report(b, &(0..UPSTREAMS).map(|u| (u, 1, 0)).collect::<Vec<_>>());
-        assert_eq!(c.report(&one, Time::from_millis(t * 2_000)), []);
+        assert_eq!(c.apply_report(&one, Time::from_millis(t * 2_000)), []);
     }
     let mut verdicts = Vec::new();
     for t in 60..80 {
         let b = t as usize % BOXES;
         let unhealthy = |u: usize| if u == 3 { (3, 0, 10) } else { (u, 1, 0) };
         let one = report(b, &(0..UPSTREAMS).map(unhealthy).collect::<Vec<_>>());
-        verdicts.extend(c.report(&one, Time::from_millis(t * 2_000)));
+        verdicts.extend(c.apply_report(&one, Time::from_millis(t * 2_000)));
     }
     assert_eq!(
         verdicts.first().map(|v| (v.upstream, v.judgement)),
@@ -88,8 +91,8 @@
     warm_up(&mut c);
     for t in 0..50 {
         let at = Time::from_millis(20_000 + t * 100);
-        assert_eq!(c.report(&report(0, &[(3, 0, 30)]), at), []);
-        assert_eq!(c.report(&report(1, &[(3, 0, 30)]), at), []);
+        assert_eq!(c.apply_report(&report(0, &[(3, 0, 30)]), at), []);
+        assert_eq!(c.apply_report(&report(1, &[(3, 0, 30)]), at), []);
     }
 }
 
@@ -103,7 +106,7 @@
     for t in 0..20 {
         for b in 0..4 {
             let many = [(0, 0, 10), (1, 0, 10), (2, 0, 10), (3, 0, 10)];
-            assert_eq!(c.report(&report(b, &many), Time::from_millis(20_000 + t * 200)), []);
+            assert_eq!(c.apply_report(&report(b, &many), Time::from_millis(20_000 + t * 200)), []);
         }
     }
 }
@@ -137,7 +140,7 @@
     for t in 0..5 {
         for b in 0..45 {
             let two = [reported(b % UPSTREAMS), reported((b + 1) % UPSTREAMS)];
-            assert_eq!(c.report(&report(b, &two), Time::from_millis(20_000 + t * 500)), []);
+            assert_eq!(c.apply_report(&report(b, &two), Time::from_millis(20_000 + t * 500)), []);
         }
     }
 }
--- a/crates/honeypulley_policy/tests/floor.rs
+++ b/crates/honeypulley_policy/tests/floor.rs
@@ -75,22 +75,22 @@
         let b = &mut self.boxes[from];
         let service = b.service("s").expect("service is configured");
         b.record_request(service, at);
-        let ask = RequestInfo {
+        let info = RequestInfo {
             service,
             repeatable,
             priority: 0,
             large_response: false,
-            aim: Some(Duration::from_millis(800)),
-            left: Some(Duration::from_millis(TIMEOUT_MS)),
+            target: Some(Duration::from_millis(800)),
+            remaining: Some(Duration::from_millis(TIMEOUT_MS)),
             route: NameId::of("r"),
         };
-        let Ok(pick) = b.pick(&ask, &[], at) else { return };
-        let upstream = b.place(pick.upstream).expect("upstream is known").name.to_owned();
+        let Ok(pick) = b.pick(&info, &[], at) else { return };
+        let upstream = b.endpoint(pick.upstream).expect("upstream is known").name.to_owned();
         let hangs = now >= self.hang_start && self.hanging.contains(&upstream);
         let (took, outcome) = match (from < self.disconnected, hangs) {
             (true, _) => (CONNECT_MS, Outcome::Unreachable),
-            (false, true) => (TIMEOUT_MS, Outcome::Abandoned),
-            (false, false) => (WORK_MS, Outcome::Whole),
+            (false, true) => (TIMEOUT_MS, Outcome::Cancelled),
+            (false, false) => (WORK_MS, Outcome::Completed),
         };
         if outcome != Outcome::Unreachable {
             self.sent.entry(upstream).or_default().push(now);
@@ -104,11 +104,11 @@
         for w in &self.pending {
             let b = &mut self.boxes[w.from];
             if now < w.ends {
-                b.is_in_flight(w.key, at);
+                b.record_in_flight(w.key, at);
                 continue;
             }
-            if w.outcome == Outcome::Whole {
-                b.answered(w.key, true, at);
+            if w.outcome == Outcome::Completed {
+                b.response_started(w.key, true, at);
             }
             b.finish(w.key, w.outcome, at);
         }
--- a/crates/honeypulley_policy/tests/join.rs
+++ b/crates/honeypulley_policy/tests/join.rs
@@ -25,12 +25,12 @@
 ) {
     let mut j = Join::default();
     for (i, v) in peers.iter().enumerate() {
-        j.peer_told(NameId(i as u64), *v);
+        j.record_peer_version(NameId(i as u64), *v);
     }
     if let Some(v) = platform {
-        j.platform_told(v);
+        j.record_platform_version(v);
     }
-    assert_eq!(j.decide(own, other_boxes), expected);
-    assert_eq!(j.is_done(), expected.is_some());
-    assert_eq!(j.decide(own, other_boxes), None, "a box joins only once");
+    assert_eq!(j.try_join(own, other_boxes), expected);
+    assert_eq!(j.has_joined(), expected.is_some());
+    assert_eq!(j.try_join(own, other_boxes), None, "a box joins only once");
 }
--- a/crates/honeypulley_policy/tests/limits/ways.rs
+++ b/crates/honeypulley_policy/tests/limits/ways.rs
@@ -50,11 +50,7 @@
 
     fn set_scope(&mut self, fleet: &Fleet, now: Time) {
         let isolated = fleet.is_isolated(self.this_box, now);
-        self.limits.set_scope(LimitScope {
-            boxes: fleet.boxes(),
-            halls: fleet.halls(),
-            isolated: isolated,
-        });
+        self.limits.set_scope(LimitScope { boxes: fleet.boxes(), halls: fleet.halls(), isolated });
     }
 
     fn announce(&mut self, fleet: &Fleet, now: Time, out: &mut Vec<Message>) {
--- a/crates/honeypulley_policy/tests/load/hall.rs
+++ b/crates/honeypulley_policy/tests/load/hall.rs
@@ -211,14 +211,14 @@
         if self.plan.fails_after_ms > 0 { self.plan.fails_after_ms } else { TIMEOUT_MS }
     }
 
-    fn ask(&self, r: &Request, now: u64) -> RequestInfo {
+    fn info(&self, r: &Request, now: u64) -> RequestInfo {
         RequestInfo {
             service: self.boxes[r.from].service("s").expect("service is configured"),
             repeatable: r.repeatable,
             priority: 0,
             large_response: false,
-            aim: Some(Duration::from_millis(TARGET_MS)),
-            left: Some(Duration::from_millis((r.began + self.limit()).saturating_sub(now))),
+            target: Some(Duration::from_millis(TARGET_MS)),
+            remaining: Some(Duration::from_millis((r.began + self.limit()).saturating_sub(now))),
             route: NameId(u64::from(r.repeatable)),
         }
     }
@@ -239,11 +239,11 @@
     }
 
     fn pick_by_policy(&mut self, r: &Request, now: u64) -> Option<(usize, Option<AttemptKey>)> {
-        let ask = self.ask(r, now);
+        let info = self.info(r, now);
         let tried: Vec<UpstreamKey> = r.tried.iter().map(|&i| self.keys[r.from][i]).collect();
         let b = &mut self.boxes[r.from];
-        let pick = b.pick(&ask, &tried, Time::from_millis(now)).ok()?;
-        let worker = self.by_name[b.place(pick.upstream).expect("upstream is known").name];
+        let pick = b.pick(&info, &tried, Time::from_millis(now)).ok()?;
+        let worker = self.by_name[b.endpoint(pick.upstream).expect("upstream is known").name];
         self.keys[r.from][worker] = pick.upstream;
         self.count(r, |c| c.probes += usize::from(pick.reason == Reason::Canary));
         Some((worker, Some(pick.attempt)))
@@ -326,7 +326,7 @@
         let Some(sent) = r.open else { return };
         if sent.ends > now {
             if let Some(key) = sent.key {
-                self.boxes[r.from].is_in_flight(key, at);
+                self.boxes[r.from].record_in_flight(key, at);
             }
             self.requests.push(r);
             return;
@@ -349,7 +349,7 @@
     }
 
     fn may_retry(&mut self, r: &Request, end: End, now: u64) -> bool {
-        let ask = self.ask(r, now);
+        let info = self.info(r, now);
         let b = &mut self.boxes[r.from];
         if end == End::Unreachable {
             // Nothing was sent, so a retry costs no budget.
@@ -357,8 +357,8 @@
         }
         (r.repeatable || end == End::Rejected)
             && r.tried.len() < MAX_ATTEMPTS
-            && b.can_meet_deadline(&ask)
-            && b.spend_retry(ask.service, RetryReason::Failed, Time::from_millis(now))
+            && b.can_meet_deadline(&info)
+            && b.spend_retry(info.service, RetryReason::Failed, Time::from_millis(now))
     }
 
     /// Reports the result of an attempt to the box.
@@ -369,19 +369,19 @@
             End::Rejected => {
                 let backoff =
                     (self.plan.backoff_ms > 0).then(|| Duration::from_millis(self.plan.backoff_ms));
-                b.signalled(key, &Signals { backoff, ..Signals::default() }, at);
+                b.record_signals(key, &Signals { backoff, ..Signals::default() }, at);
                 self.workers[sent.worker].reject(from, at.as_micros() / 1_000, &self.plan);
                 Outcome::NotRun
             }
             End::Unreachable => Outcome::Unreachable,
-            End::Hung => Outcome::Late,
+            End::Hung => Outcome::TimedOut,
             End::Served | End::Failed => {
-                b.answered(key, sent.end == End::Served, at);
-                b.signalled(key, &Signals { limit: sent.limit, ..Signals::default() }, at);
+                b.response_started(key, sent.end == End::Served, at);
+                b.record_signals(key, &Signals { limit: sent.limit, ..Signals::default() }, at);
                 if sent.limit.is_none() {
                     b.clear_limit(key);
                 }
-                Outcome::Whole
+                Outcome::Completed
             }
         };
         b.finish(key, outcome, at);
--- a/crates/honeypulley_policy/tests/permits.rs
+++ b/crates/honeypulley_policy/tests/permits.rs
@@ -1,6 +1,8 @@
 //! Tests the floor with stale views, paused boxes and any order of changes.
 
-use honeypulley_policy::permits::{FloorContext, Hold, LEASE, MARGIN, PermitError, PermitRecord};
+use honeypulley_policy::permits::{
+    CLOCK_MARGIN, FloorContext, LEASE, PermitError, PermitRecord, PermitState,
+};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::BTreeSet;
@@ -73,7 +75,7 @@
             record = next;
         }
         for (u, e) in &record.entries {
-            if e.hold == Hold::Cooling {
+            if e.hold == PermitState::Cooling {
                 seen.entry((u.clone(), e.serial)).or_insert(now);
             }
         }
@@ -82,7 +84,7 @@
         let union: BTreeSet<&String> = acting
             .flat_map(|v| v.record.entries.iter())
             .chain(record.entries.iter())
-            .filter(|(_, e)| e.hold != Hold::Cooling)
+            .filter(|(_, e)| e.hold != PermitState::Cooling)
             .map(|(u, _)| u)
             .collect();
         largest = largest.max(union.len());
@@ -104,11 +106,11 @@
     }
     // Without a wait, the writer claims a waiting time that has not passed.
     let claimed_wait = Duration::from_millis(now - first).max(if wait == 0 {
-        LEASE + MARGIN
+        LEASE + CLOCK_MARGIN
     } else {
         Duration::ZERO
     });
-    record.retire(up, serial, claimed_wait)
+    record.remove_released(up, serial, claimed_wait)
 }
 
 proptest! {
@@ -151,9 +153,9 @@
         .expect("change is allowed");
     let serial = first.entries["u0"].serial;
     let again = first.eject("u0", ctx).and_then(|r| r.release("u0")).expect("change is allowed");
-    let seen = LEASE + MARGIN;
-    assert_eq!(again.retire("u0", serial, seen), Err(PermitError::State));
-    assert!(again.retire("u0", again.entries["u0"].serial, seen).is_ok());
+    let seen = LEASE + CLOCK_MARGIN;
+    assert_eq!(again.remove_released("u0", serial, seen), Err(PermitError::State));
+    assert!(again.remove_released("u0", again.entries["u0"].serial, seen).is_ok());
 }
 
 #[test]
@@ -164,10 +166,10 @@
         .and_then(|r| r.release("u0"))
         .expect("change is allowed");
     let serial = r.entries["u0"].serial;
-    let early = r.retire("u0", serial, LEASE);
-    assert_eq!(early, Err(PermitError::Cooling(MARGIN)));
+    let early = r.remove_released("u0", serial, LEASE);
+    assert_eq!(early, Err(PermitError::Cooling(CLOCK_MARGIN)));
     assert!(
-        r.retire("u0", serial, LEASE + MARGIN)
+        r.remove_released("u0", serial, LEASE + CLOCK_MARGIN)
             .expect("older views have expired")
             .entries
             .is_empty()
--- a/crates/honeypulley_policy/tests/placement.rs
+++ b/crates/honeypulley_policy/tests/placement.rs
@@ -1,7 +1,7 @@
 //! Tests placement under churn, rate limits, the retry budget and latency statistics.
 
 use honeypulley_policy::limits::{Gcra, RetryBudget};
-use honeypulley_policy::placement::{Role, subset_size, top};
+use honeypulley_policy::placement::{Role, highest_weighted, subset_size};
 use honeypulley_policy::spread::LatencyStats;
 use honeypulley_policy::time::Time;
 use proptest::prelude::*;
@@ -19,9 +19,9 @@
     let mut moved = 0;
     for s in 0..500 {
         let subject = format!("service{s}");
-        let before = top(Role::Collector, &subject, all.iter().map(String::as_str), 2);
+        let before = highest_weighted(Role::Collector, &subject, all.iter().map(String::as_str), 2);
         let rest = all.iter().map(String::as_str).filter(|n| *n != "box7");
-        let after = top(Role::Collector, &subject, rest, 2);
+        let after = highest_weighted(Role::Collector, &subject, rest, 2);
         if before.contains(&"box7") {
             moved += 1;
         } else {
@@ -49,7 +49,9 @@
         let mut load: BTreeMap<&str, usize> = BTreeMap::new();
         for b in &boxes {
             let key = format!("{service}{b}");
-            for u in top(Role::Subset, &key, upstreams.iter().map(String::as_str), subset) {
+            for u in
+                highest_weighted(Role::Subset, &key, upstreams.iter().map(String::as_str), subset)
+            {
                 *load.entry(u).or_default() += 1;
             }
         }
@@ -70,12 +72,12 @@
         let (mut limiter, mut now, mut admitted) = (Gcra::new(rate), Time::from_millis(5), Vec::new());
         for g in gaps {
             now = now + Duration::from_millis(g);
-            match limiter.take(burst, now) {
+            match limiter.try_acquire(burst, now) {
                 Ok(()) => admitted.push(now),
                 Err(wait) => {
                     let mut later = limiter;
                     let retry_at = now + wait + Duration::from_micros(2);
-                    prop_assert!(later.take(burst, retry_at).is_ok(), "retry time is too early");
+                    prop_assert!(later.try_acquire(burst, retry_at).is_ok(), "retry time is too early");
                 }
             }
         }
@@ -91,15 +93,15 @@
 #[test]
 fn retries_stay_a_share_of_successes() {
     let mut b = RetryBudget::new(0.1);
-    while b.spend() {}
+    while b.try_withdraw() {}
     let spent = (0..1_000)
         .filter(|_| {
-            b.earn();
-            b.spend()
+            b.deposit();
+            b.try_withdraw()
         })
         .count();
     assert!((95..=101).contains(&spent), "{spent}");
-    assert!(!RetryBudget::new(0.0).spend(), "a budget of zero allows no retries");
+    assert!(!RetryBudget::new(0.0).try_withdraw(), "a budget of zero allows no retries");
 }
 
 #[test]
--- a/crates/honeypulley_policy/tests/router.rs
+++ b/crates/honeypulley_policy/tests/router.rs
@@ -77,9 +77,9 @@
     for _ in 0..n {
         let p = r.pick(k, repeatable, &[], at).expect("upstream is available");
         *counts
-            .entry(r.upstream(p.upstream).expect("upstream is known").0.to_owned())
+            .entry(r.endpoint(p.upstream).expect("upstream is known").0.to_owned())
             .or_default() += 1;
-        r.finish(p.attempt, Outcome::Abandoned, at);
+        r.finish(p.attempt, Outcome::Cancelled, at);
     }
     counts
 }
@@ -96,14 +96,14 @@
     let last = picks.iter().filter(|p| p.reason == Reason::LastResort).count();
     assert!(last > 0, "an upstream with an expired permit remains a last resort");
     assert!(picks.iter().all(|p| (p.reason == Reason::LastResort)
-        == (r.upstream(p.upstream).expect("upstream is known").0 == "u0")));
+        == (r.endpoint(p.upstream).expect("upstream is known").0 == "u0")));
 }
 
 #[test]
 fn no_more_are_set_aside_than_the_floor_spares_even_if_all_look_sick() {
     let (mut r, k) = router(RepeatPolicy::Always);
     for i in 0..UPSTREAMS {
-        r.set_verdict(&suspect(&format!("u{i}"), 4_000), Time::ZERO);
+        r.apply_verdict(&suspect(&format!("u{i}"), 4_000), Time::ZERO);
     }
     let used = pick_counts(&mut r, k, 500, true, Time::from_millis(1));
     assert_eq!(used.len(), 3, "the floor keeps three of five in use: {used:?}");
@@ -128,8 +128,8 @@
 fn a_drain_mark_ends_new_work_at_once() {
     let (mut r, k) = router(RepeatPolicy::Always);
     let p = r.pick(k, true, &[], Time::ZERO).expect("upstream is available");
-    let name = r.upstream(p.upstream).expect("upstream is known").0.to_owned();
-    r.drained(p.upstream, Time::ZERO);
+    let name = r.endpoint(p.upstream).expect("upstream is known").0.to_owned();
+    r.mark_draining(p.upstream, Time::ZERO);
     assert!(!pick_counts(&mut r, k, 300, true, Time::ZERO).contains_key(&name));
 }
 
@@ -140,20 +140,20 @@
     for _ in 0..200 {
         let p = r.pick(k, true, &[], now).expect("upstream is available");
         now = now + Duration::from_millis(10);
-        r.answered(p.attempt, true, now);
-        r.finish(p.attempt, Outcome::Whole, now);
+        r.response_started(p.attempt, true, now);
+        r.finish(p.attempt, Outcome::Completed, now);
     }
     let p = r.pick(k, true, &[], now).expect("upstream is available");
     assert!(r.stall_limit(k) < Duration::from_millis(200), "{:?}", r.stall_limit(k));
     now = now + Duration::from_millis(250);
-    let stalled = NameId::of(r.upstream(p.upstream).expect("upstream is known").0);
+    let stalled = NameId::of(r.endpoint(p.upstream).expect("upstream is known").0);
     let reports = r.tick(now);
     let item = reports[0].items.iter().find(|i| i.upstream == stalled).expect("stall is reported");
-    assert_eq!(item.bad, 10);
+    assert_eq!(item.failures, 10);
     // The later end of the same attempt adds no further evidence.
-    r.finish(p.attempt, Outcome::Late, now + Duration::from_secs(2));
+    r.finish(p.attempt, Outcome::TimedOut, now + Duration::from_secs(2));
     let again = r.tick(now + Duration::from_secs(3));
-    assert!(again.iter().flat_map(|r| &r.items).all(|i| i.bad == 0), "{again:?}");
+    assert!(again.iter().flat_map(|r| &r.items).all(|i| i.failures == 0), "{again:?}");
 }
 
 #[test]
@@ -164,12 +164,12 @@
     for _ in 0..400 {
         now = now + Duration::from_millis(10);
         let p = r.pick(k, true, &[], now).expect("upstream is available");
-        let fails = r.upstream(p.upstream).expect("upstream is known").0 == "u0";
+        let fails = r.endpoint(p.upstream).expect("upstream is known").0 == "u0";
         failed += u32::from(fails);
-        r.answered(p.attempt, !fails, now);
-        r.finish(p.attempt, Outcome::Whole, now);
+        r.response_started(p.attempt, !fails, now);
+        r.finish(p.attempt, Outcome::Completed, now);
         let reports = r.tick(now);
-        bad += reports.iter().flat_map(|r| &r.items).map(|i| u32::from(i.bad)).sum::<u32>();
+        bad += reports.iter().flat_map(|r| &r.items).map(|i| u32::from(i.failures)).sum::<u32>();
     }
     assert!((3..12).contains(&failed), "failing upstream must be avoided: {failed} failures");
     assert!(bad >= failed * 10 + 20, "{bad} tenths for {failed} failures");
@@ -179,7 +179,7 @@
 fn canary_requests_are_repeatable() {
     let (mut r, k) = router(RepeatPolicy::Reads);
     let probation = Verdict { judgement: Judgement::Probation, ..suspect("u0", 60_000) };
-    r.set_verdict(&probation, Time::ZERO);
+    r.apply_verdict(&probation, Time::ZERO);
     let now = Time::from_millis(1);
     assert!(!pick_counts(&mut r, k, 1_000, false, now).contains_key("u0"));
     let tried = pick_counts(&mut r, k, 1_000, true, now)["u0"];
@@ -197,7 +197,7 @@
         std::iter::from_fn(|| r.pick(k, true, &[], Time::ZERO).ok()).map(|p| p.attempt).collect();
     assert_eq!(open.len(), UPSTREAMS * 10);
     let refusal = r.pick(k, true, &[], Time::ZERO).expect_err("all connections are in use");
-    assert_eq!(refusal.kind, RefusalKind::Full);
+    assert_eq!(refusal.kind, RefusalKind::ConnectionsExhausted);
     assert!(refusal.retry_after > Duration::ZERO);
 }
 
@@ -226,12 +226,12 @@
     for _ in 0..1_000 {
         now = now + Duration::from_millis(20);
         let p = r.pick(k, true, &[], now).expect("upstream is available");
-        let is_false = r.upstream(p.upstream).expect("upstream is known").0 == "u0";
+        let is_false = r.endpoint(p.upstream).expect("upstream is known").0 == "u0";
         picked += usize::from(is_false);
-        r.answered(p.attempt, true, now + Duration::from_millis(15));
-        r.finish(p.attempt, Outcome::Whole, now + Duration::from_millis(15));
+        r.response_started(p.attempt, true, now + Duration::from_millis(15));
+        r.finish(p.attempt, Outcome::Completed, now + Duration::from_millis(15));
         // All other upstreams correctly report two of three busy slots.
-        r.reported_load(p.upstream, if is_false { false_load } else { 0.667 }, now);
+        r.record_load(p.upstream, if is_false { false_load } else { 0.667 }, now);
     }
     // A fair share is 200; a fresh false report wins or loses every comparison.
     assert!(share.contains(&picked), "{picked} of 1000");
@@ -250,8 +250,8 @@
         }
         let p = r.pick(k, true, &[], *now).expect("upstream is available");
         let end = *now + Duration::from_millis(ms);
-        r.answered(p.attempt, true, end);
-        r.finish(p.attempt, Outcome::Whole, end);
+        r.response_started(p.attempt, true, end);
+        r.finish(p.attempt, Outcome::Completed, end);
     }
     refused
 }
@@ -272,7 +272,7 @@
 #[test]
 fn a_restart_at_a_new_address_clears_the_state() {
     let (mut r, k) = router(RepeatPolicy::Always);
-    r.set_verdict(&suspect("u0", 60_000), Time::ZERO);
+    r.apply_verdict(&suspect("u0", 60_000), Time::ZERO);
     let mut list: Vec<Member> = (0..UPSTREAMS).map(member).collect();
     list[0].addr = "10.0.0.99:80".into();
     r.set_members(&list, 2, Time::ZERO);
@@ -283,9 +283,9 @@
 fn a_restart_at_the_same_address_ends_draining() {
     let (mut r, k) = router(RepeatPolicy::Always);
     let p = r.pick(k, true, &[], Time::ZERO).expect("upstream is available");
-    let name = r.upstream(p.upstream).expect("upstream is known").0.to_owned();
-    r.drained(p.upstream, Time::ZERO);
-    r.finish(p.attempt, Outcome::Whole, Time::ZERO);
+    let name = r.endpoint(p.upstream).expect("upstream is known").0.to_owned();
+    r.mark_draining(p.upstream, Time::ZERO);
+    r.finish(p.attempt, Outcome::Completed, Time::ZERO);
     let mut list: Vec<Member> = (0..UPSTREAMS).map(member).collect();
     let i = list.iter().position(|m| m.name == name).expect("upstream is listed");
     for (at, state) in [(1_000, MemberState::Leaving), (2_000, MemberState::Live)] {
@@ -334,7 +334,7 @@
                     let before: BTreeMap<&String, usize> = open.iter().fold(BTreeMap::new(), |mut m, (_, _, u)| { *m.entry(u).or_default() += 1; m });
                     match r.pick(k, repeatable, &[], now) {
                         Ok(p) => {
-                            let name = r.upstream(p.upstream).expect("upstream is known").0.to_owned();
+                            let name = r.endpoint(p.upstream).expect("upstream is known").0.to_owned();
                             prop_assert!(!drained.contains(&name), "sent to a draining upstream");
                             prop_assert!(before.get(&name).copied().unwrap_or(0) < 10, "exceeds the connection limit");
                             if let Some((u, at)) = &ejected {
@@ -343,7 +343,7 @@
                             open.push((p.attempt, p.upstream, name));
                         }
                         Err(e) => {
-                            prop_assert_eq!(e.kind, RefusalKind::Full);
+                            prop_assert_eq!(e.kind, RefusalKind::ConnectionsExhausted);
                             let has_room = |u: &String| before.get(u).copied().unwrap_or(0) < 10;
                             let free = (0..UPSTREAMS).map(|i| format!("u{i}")).filter(|u| has_room(u) && !drained.contains(u));
                             let held = |u: &String| ejected.as_ref().is_some_and(|(e, at)| e == u && now.since(*at) < LEASE);
@@ -353,12 +353,12 @@
                 }
                 Step::Finish(i, o) if !open.is_empty() => {
                     let (a, ..) = open.swap_remove(i % open.len());
-                    let outcome = [Outcome::Whole, Outcome::Failed, Outcome::Late, Outcome::Wrong, Outcome::Abandoned][o as usize];
-                    r.answered(a, o != 1, now);
+                    let outcome = [Outcome::Completed, Outcome::Failed, Outcome::TimedOut, Outcome::Malformed, Outcome::Cancelled][o as usize];
+                    r.response_started(a, o != 1, now);
                     r.finish(a, outcome, now);
                 }
                 Step::Finish(..) => {}
-                Step::Suspect(i) => { r.set_verdict(&suspect(&format!("u{i}"), 4_000), now); }
+                Step::Suspect(i) => { r.apply_verdict(&suspect(&format!("u{i}"), 4_000), now); }
                 Step::Permit(i, valid) => {
                     let u = format!("u{i}");
                     r.set_permits(&view(&[&u], now));
@@ -369,7 +369,7 @@
                 }
                 Step::Drain => {
                     if let (true, Some((_, u, name))) = (drained.is_empty(), open.last()) {
-                        r.drained(*u, now);
+                        r.mark_draining(*u, now);
                         drained.push(name.clone());
                     }
                 }
@@ -389,13 +389,14 @@
     r.set_members(&[member(0), member(1)], 1, Time::ZERO);
     let backoff = Some(Duration::from_secs(3));
     let p = r.pick(s, true, &[], Time::ZERO).expect("two upstreams are available");
-    let changes = r.signalled(p.attempt, &Signals { backoff, ..Signals::default() }, Time::ZERO);
+    let changes =
+        r.record_signals(p.attempt, &Signals { backoff, ..Signals::default() }, Time::ZERO);
     r.finish(p.attempt, Outcome::NotRun, Time::ZERO);
     assert!(changes.backoff);
     for ms in (0..3_000).step_by(10) {
         let q = r.pick(s, true, &[], Time::from_millis(ms)).expect("one upstream is available");
         assert_ne!(q.upstream, p.upstream, "at {ms} ms");
-        r.finish(q.attempt, Outcome::Whole, Time::from_millis(ms));
+        r.finish(q.attempt, Outcome::Completed, Time::from_millis(ms));
     }
     let q = r.pick(s, true, &[], Time::ZERO).expect("one upstream is available");
     let refused = r.pick(s, true, &[q.upstream], Time::from_millis(1_000));
--- a/crates/honeypulley_proxy/src/answer.rs
+++ b/crates/honeypulley_proxy/src/answer.rs
@@ -37,9 +37,9 @@
         let status = match r.kind {
             RefusalKind::Rate | RefusalKind::CallerRate => StatusCode::TOO_MANY_REQUESTS,
             RefusalKind::NoUpstream
-            | RefusalKind::Full
+            | RefusalKind::ConnectionsExhausted
             | RefusalKind::Overload
-            | RefusalKind::Limited
+            | RefusalKind::LimitsExhausted
             | RefusalKind::Backoff => StatusCode::SERVICE_UNAVAILABLE,
         };
         Self::not_run(status, Some(r.retry_after), r.kind.to_string())
--- a/crates/honeypulley_proxy/src/attempt.rs
+++ b/crates/honeypulley_proxy/src/attempt.rs
@@ -54,7 +54,7 @@
     #[must_use]
     pub fn new(gate: &Arc<Gate>, pick: Pick, request: Fingerprints) -> Self {
         let (key, upstream, gate) = (pick.attempt, pick.upstream, Arc::clone(gate));
-        Self { gate, key, upstream, request, outcome: Outcome::Abandoned, succeeded: false }
+        Self { gate, key, upstream, request, outcome: Outcome::Cancelled, succeeded: false }
     }
 
     /// Sets the outcome that is reported when the guard is dropped.
@@ -67,7 +67,7 @@
     fn drop(&mut self) {
         let now = self.gate.now();
         self.gate.chooser.lock().finish(self.key, self.outcome, now);
-        if self.succeeded && self.outcome == Outcome::Whole {
+        if self.succeeded && self.outcome == Outcome::Completed {
             self.gate.suspects.record_success(self.request, now);
         }
     }
@@ -172,12 +172,12 @@
                 let (status, headers) = (head.status, &head.headers);
                 let head = ReceivedHead { from: &to.name, attempt: guard.key, status, headers };
                 signals::record_complete(&gate, &head);
-                guard.ended(Outcome::Whole);
+                guard.ended(Outcome::Completed);
             }
             Ok(Answer { head, body, guard })
         }
         Err(why) => {
-            guard.ended(Outcome::Wrong);
+            guard.ended(Outcome::Malformed);
             drop(guard);
             record_if_crashed(&gate, &to, &out, began).await;
             Err((upstream, Failure::Unknown { why: format!("the answer was cut: {why}") }))
@@ -259,7 +259,7 @@
     let (now, h, d) = (gate.now(), r.headers(), &gate.dialect);
     let mut policy = gate.chooser.lock();
     if id.is_some() && h.get(&d.attempt).is_some_and(|echo| Some(echo) != id) {
-        guard.ended(Outcome::Wrong);
+        guard.ended(Outcome::Malformed);
         return Err(Failure::Unknown { why: "the answer belongs to another request".to_owned() });
     }
     if !d.is_misdirected(r.status()) {
@@ -278,20 +278,20 @@
         return Err(Failure::NotRun { why: why.to_owned() });
     }
     if !out.upgrade && !d.unbounded && !is_bounded(r, &out.method) {
-        guard.ended(Outcome::Wrong);
+        guard.ended(Outcome::Malformed);
         return Err(Failure::Unknown {
             why: "the answer has no length, so a cut could not be told".to_owned(),
         });
     }
     let lacks_proof = d.proof.as_ref().is_some_and(|p| !h.contains_key(p));
     if r.status().is_success() && lacks_proof {
-        guard.ended(Outcome::Wrong);
+        guard.ended(Outcome::Malformed);
         return Err(Failure::Unknown { why: "the answer lacks its proof".to_owned() });
     }
     guard.succeeded = !r.status().is_server_error();
-    policy.answered(guard.key, guard.succeeded, now);
+    policy.response_started(guard.key, guard.succeeded, now);
     if let Some(bytes) = r.content_length().filter(|_| guard.succeeded) {
-        policy.sized(guard.key, bytes);
+        policy.record_size(guard.key, bytes);
     }
     Ok(())
 }
--- a/crates/honeypulley_proxy/src/body.rs
+++ b/crates/honeypulley_proxy/src/body.rs
@@ -179,9 +179,11 @@
         let polled = Pin::new(&mut self.inner).poll_frame(cx);
         match &polled {
             // The error is forwarded, so that the caller notices the truncation.
-            Poll::Ready(Some(Err(_))) => self.finish(Outcome::Wrong),
-            Poll::Ready(None) => self.finish(Outcome::Whole),
-            Poll::Ready(Some(Ok(_))) if self.inner.is_end_stream() => self.finish(Outcome::Whole),
+            Poll::Ready(Some(Err(_))) => self.finish(Outcome::Malformed),
+            Poll::Ready(None) => self.finish(Outcome::Completed),
+            Poll::Ready(Some(Ok(_))) if self.inner.is_end_stream() => {
+                self.finish(Outcome::Completed)
+            }
             _ => {}
         }
         polled
--- a/crates/honeypulley_proxy/src/callers.rs
+++ b/crates/honeypulley_proxy/src/callers.rs
@@ -30,10 +30,10 @@
             && *current == rate
         {
             *seen = now;
-            return cell.take(BURST, now);
+            return cell.try_acquire(BURST, now);
         }
         let mut cell = Gcra::new(rate);
-        let result = cell.take(BURST, now);
+        let result = cell.try_acquire(BURST, now);
         self.cells.insert(caller.into(), (cell, rate, now));
         result
     }
--- a/crates/honeypulley_proxy/src/gate.rs
+++ b/crates/honeypulley_proxy/src/gate.rs
@@ -78,7 +78,7 @@
     /// Organisation that the request belongs to.
     pub belongs: Belongs,
     /// Request to the policy for an upstream.
-    pub ask: RequestInfo,
+    pub info: RequestInfo,
     /// Name of the service.
     pub service: String,
     /// Timeout of the request, if the route defines one.
--- a/crates/honeypulley_proxy/src/handler.rs
+++ b/crates/honeypulley_proxy/src/handler.rs
@@ -63,7 +63,7 @@
         let mut out = self.outgoing(req, &id);
         dialect.set_organisation(&routed.belongs, &mut out.headers);
         out.collect = routed.collect && !out.upgrade;
-        routed.ask.repeatable &= !out.upgrade;
+        routed.info.repeatable &= !out.upgrade;
         let source = read_body(req, routed.body_bytes).await?;
         let identity = Identity {
             method: &out.method,
--- a/crates/honeypulley_proxy/src/race.rs
+++ b/crates/honeypulley_proxy/src/race.rs
@@ -145,12 +145,12 @@
         // The last allowed attempt can't be repeated.
         let is_last = progress.maybe_ran() + 1 >= self.routed.attempts;
         let left = self.left();
-        let repeatable = self.routed.ask.repeatable && !is_last;
-        let ask = RequestInfo { repeatable, left, ..self.routed.ask };
-        let pick = match policy.pick(&ask, &progress.attempted, now) {
+        let repeatable = self.routed.info.repeatable && !is_last;
+        let info = RequestInfo { repeatable, remaining: left, ..self.routed.info };
+        let pick = match policy.pick(&info, &progress.attempted, now) {
             Ok(p) => p,
             Err(r) => {
-                let expected = policy.expected(&ask, now);
+                let expected = policy.expected_latency(&info, now);
                 drop(policy);
                 self.log_refusal(kind, r, expected);
                 progress.retry_after = Some(r.retry_after);
@@ -158,7 +158,7 @@
             }
         };
         let location = policy
-            .place(pick.upstream)
+            .endpoint(pick.upstream)
             .expect("the policy knows an upstream that it has just picked");
         let to = Destination { name: location.name.to_owned(), addr: location.addr.to_owned() };
         let known = policy.inputs(pick.upstream, now);
@@ -168,8 +168,8 @@
             request = self.id.as_str(), same:display = self.out.same.caller,
             organisation = self.routed.belongs.name(), service,
             upstream = to.name.as_str(), reason:debug = pick.reason, version,
-            attempts = self.routed.attempts, repeatable = self.routed.ask.repeatable,
-            near = known.near, sick = known.sick as f32, path = known.path as f32, busy = known.busy as f32,
+            attempts = self.routed.attempts, repeatable = self.routed.info.repeatable,
+            near = known.same_hall, sick = known.unhealthy as f32, path = known.path as f32, busy = known.busy as f32,
             load_age_ms = known.load_age.map(|d| d.as_millis() as u64),
             limit = known.limit.map(|l| l.rate as f32), limit_part = known.limit.map(|l| l.share as f32),
             limit_left = known.limit.and_then(|l| l.remaining).map(|left| left as f32),
@@ -201,7 +201,7 @@
     fn next_check(&self, progress: &Progress) -> Option<Time> {
         let policy = self.gate.chooser.lock();
         let now = self.gate.now();
-        let next = |a: &InFlight| now + policy.recheck_delay(&self.routed.ask, now.since(a.began));
+        let next = |a: &InFlight| now + policy.recheck_delay(&self.routed.info, now.since(a.began));
         progress.in_flight.iter().map(next).min()
     }
 
@@ -211,9 +211,9 @@
         self.cancel_lost(progress);
         let stuck = {
             let mut policy = self.gate.chooser.lock();
-            progress.in_flight.iter().for_each(|a| policy.is_in_flight(a.key, now));
+            progress.in_flight.iter().for_each(|a| policy.record_in_flight(a.key, now));
             let newest = progress.in_flight.last();
-            newest.and_then(|a| policy.hedge(&self.routed.ask, a.key, now))
+            newest.and_then(|a| policy.hedge_value(&self.routed.info, a.key, now))
         };
         let Some(stuck) = stuck else { return };
         if self.restriction() == Restriction::Clear
@@ -250,7 +250,7 @@
 
     /// Returns whether the request is repeatable and another attempt can finish in time.
     fn can_repeat(&self, progress: &mut Progress) -> bool {
-        let may_repeat = self.routed.ask.repeatable && self.restriction() < Restriction::NoRetry;
+        let may_repeat = self.routed.info.repeatable && self.restriction() < Restriction::NoRetry;
         may_repeat
             && self.has_attempts_left(progress)
             && self.can_meet_deadline()
@@ -259,9 +259,10 @@
 
     /// Returns whether another upstream is available for the request.
     fn has_upstream(&self, progress: &mut Progress) -> bool {
-        let (ask, now) = (RequestInfo { left: self.left(), ..self.routed.ask }, self.gate.now());
+        let (info, now) =
+            (RequestInfo { remaining: self.left(), ..self.routed.info }, self.gate.now());
         let refused =
-            self.gate.chooser.lock().check_available(&ask, &progress.attempted, now).err();
+            self.gate.chooser.lock().check_available(&info, &progress.attempted, now).err();
         if let Some(r) = refused {
             self.log_refusal("retry", r, None);
             progress.retry_after = Some(r.retry_after);
@@ -275,8 +276,8 @@
     }
 
     fn can_meet_deadline(&self) -> bool {
-        let ask = RequestInfo { left: self.left(), ..self.routed.ask };
-        self.gate.chooser.lock().can_meet_deadline(&ask)
+        let info = RequestInfo { remaining: self.left(), ..self.routed.info };
+        self.gate.chooser.lock().can_meet_deadline(&info)
     }
 
     /// Returns the time left until the deadline.
@@ -293,7 +294,7 @@
         }
         let restriction = self.restriction();
         let is_limited = restriction >= Restriction::NoRetry;
-        let is_safe = self.routed.ask.repeatable || progress.unknown_reason.is_none();
+        let is_safe = self.routed.info.repeatable || progress.unknown_reason.is_none();
         match failure {
             // Nothing was sent, so another attempt does not count as a retry.
             Failure::NotSent { .. } => is_safe && !matches!(restriction, Restriction::Held { .. }),
@@ -301,7 +302,7 @@
                 !is_limited && is_safe && self.spend_retry(RetryReason::Failed)
             }
             Failure::Unknown { .. } => {
-                !is_limited && self.routed.ask.repeatable && self.spend_retry(RetryReason::Failed)
+                !is_limited && self.routed.info.repeatable && self.spend_retry(RetryReason::Failed)
             }
         }
     }
@@ -315,9 +316,9 @@
     fn spend_retry(&self, why: RetryReason) -> bool {
         let now = self.gate.now();
         let mut policy = self.gate.chooser.lock();
-        let spent = policy.spend_retry(self.routed.ask.service, why, now);
+        let spent = policy.spend_retry(self.routed.info.service, why, now);
         if !spent {
-            let known = policy.budget_use(self.routed.ask.service, now);
+            let known = policy.budget_use(self.routed.info.service, now);
             drop(policy);
             self.gate.count_for("retries.denied", &[("service", self.routed.service.as_str())]);
             log::info!(
@@ -334,7 +335,7 @@
         log::info!(
             request = self.id.as_str(), service = self.routed.service.as_str(),
             version = self.routed.version,
-            aim_ms = self.routed.ask.aim.map(|d| d.as_millis() as u64),
+            aim_ms = self.routed.info.target.map(|d| d.as_millis() as u64),
             expected_ms = expected.map(|d| d.as_millis() as u64);
             "route: {kind} not sent, {}", r.kind
         );
@@ -342,7 +343,7 @@
 
     fn log_server_error(&self, answer: &Answer) {
         let policy = self.gate.chooser.lock();
-        let upstream = policy.place(answer.guard.upstream).map_or("gone", |p| p.name);
+        let upstream = policy.endpoint(answer.guard.upstream).map_or("gone", |p| p.name);
         log::warn!(
             request = self.id.as_str(), service = self.routed.service.as_str(), upstream,
             status = answer.head.status.as_u16();
@@ -352,7 +353,7 @@
 
     fn record_failure(&self, upstream: UpstreamKey, failure: &Failure, progress: &mut Progress) {
         let policy = self.gate.chooser.lock();
-        let name = policy.place(upstream).map_or("gone", |p| p.name);
+        let name = policy.endpoint(upstream).map_or("gone", |p| p.name);
         let (request, service) = (self.id.as_str(), self.routed.service.as_str());
         let reason = match failure {
             Failure::NotSent { .. } => "not_sent",
--- a/crates/honeypulley_proxy/src/shared.rs
+++ b/crates/honeypulley_proxy/src/shared.rs
@@ -237,7 +237,7 @@
             router.confirm_permits(at);
         }
         while let Some(v) = self.feed.verdicts.pop() {
-            if let Some(name) = router.set_verdict(&v, now) {
+            if let Some(name) = router.apply_verdict(&v, now) {
                 log::info!(
                     upstream = name, witnesses = v.witnesses, hold_ms = v.hold.as_millis() as u64;
                     "verdict: {name} is {:?}, reported by {} boxes", v.judgement, v.witnesses
@@ -285,13 +285,13 @@
         let repeatable = spec.repeat.allows(is_safe(wanted.method));
         Ok(Routed {
             belongs: Belongs::Unasked,
-            ask: RequestInfo {
+            info: RequestInfo {
                 service,
                 repeatable,
                 priority: 0,
                 large_response: false,
-                aim: None,
-                left: None,
+                target: None,
+                remaining: None,
                 route: NameId::of(name),
             },
             service: name.to_owned(),
--- a/crates/honeypulley_proxy/src/signals/record.rs
+++ b/crates/honeypulley_proxy/src/signals/record.rs
@@ -61,7 +61,7 @@
         gate.count(if is_limit { "limits.refused" } else { "signals.ignored" });
         log::warn!(upstream, fault:% = fault; "attempt: ignored a signal of {upstream}: {fault}");
     }
-    let changes = policy.signalled(head.attempt, &signals, now);
+    let changes = policy.record_signals(head.attempt, &signals, now);
     if signals.limit.is_some() {
         gate.count("limits.named");
     }
--- a/crates/honeypulley_proxy/src/upgrade.rs
+++ b/crates/honeypulley_proxy/src/upgrade.rs
@@ -34,7 +34,7 @@
         };
         let mut caller = TokioIo::new(caller);
         let result = tokio::io::copy_bidirectional(&mut caller, &mut upstream).await;
-        guard.ended(Outcome::Whole);
+        guard.ended(Outcome::Completed);
         match result {
             Ok((up, down)) => {
                 log::info!(request = id.as_str(), up, down; "session: closed by caller or upstream");
--- a/crates/honeypulley_proxy/tests/race/support.rs
+++ b/crates/honeypulley_proxy/tests/race/support.rs
@@ -77,18 +77,18 @@
 
 /// Creates the request, which is not repeatable.
 pub fn race(test: &TestGate, left: Duration) -> Race {
-    let ask = RequestInfo {
+    let info = RequestInfo {
         service: test.service,
         repeatable: false,
         priority: 0,
         large_response: false,
-        aim: Some(Duration::from_millis(200)),
-        left: None,
+        target: Some(Duration::from_millis(200)),
+        remaining: None,
         route: NameId::of("r"),
     };
     let routed = Routed {
         belongs: Belongs::Unasked,
-        ask,
+        info,
         service: "s".to_owned(),
         timeout: None,
         attempts: 1,
--- a/tools/measure/src/slopes.rs
+++ b/tools/measure/src/slopes.rs
@@ -137,8 +137,8 @@
             now = now + Duration::from_micros(2_700);
             if let Ok(p) = r.pick(keys[i as usize % keys.len()], true, &[], now) {
                 let end = now + Duration::from_millis(50);
-                r.answered(p.attempt, true, end);
-                r.finish(p.attempt, Outcome::Whole, end);
+                r.response_started(p.attempt, true, end);
+                r.finish(p.attempt, Outcome::Completed, end);
             }
         });
         let tick = nanos(2_000, |_| {
@@ -194,13 +194,15 @@
     let report = |b: u32, bad: u16| Report {
         service: NameId::of("s"),
         reporter: NameId(u64::from(b % 657)),
-        items: (0..4).map(|i| ReportItem { upstream: up(i), good: 2, bad }).collect(),
+        items: (0..4)
+            .map(|i| ReportItem { upstream: up(i), successes: 2, failures: bad })
+            .collect(),
     };
     let good = nanos(100_000, |i| {
-        black_box(c.report(&report(i, 0), Time::from_millis(u64::from(i))));
+        black_box(c.apply_report(&report(i, 0), Time::from_millis(u64::from(i))));
     });
     let bad = nanos(20_000, |i| {
-        black_box(c.report(&report(i, 10), Time::from_millis(100_000 + u64::from(i))));
+        black_box(c.apply_report(&report(i, 10), Time::from_millis(100_000 + u64::from(i))));
     });
     println!(
         "\n## Collector\n\n{:.1} us for a report with nothing bad, {:.1} us for one with",
@@ -213,7 +215,11 @@
     let key = FleetKey::derive("a key for measuring");
     let items = |n: u64| {
         (0..n)
-            .map(|i| ReportItem { upstream: NameId(fastrand::u64(..) | i), good: 3, bad: 10 })
+            .map(|i| ReportItem {
+                upstream: NameId(fastrand::u64(..) | i),
+                successes: 3,
+                failures: 10,
+            })
             .collect()
     };
     let verdict = Verdict {
--- a/tools/trial/src/model.rs
+++ b/tools/trial/src/model.rs
@@ -328,7 +328,7 @@
             Event::Deadline { request } => self.late(request),
             Event::Tick { b } => self.tick(b),
             Event::Report { c, report } => {
-                let verdicts = self.collectors[c].report(&report, self.now);
+                let verdicts = self.collectors[c].apply_report(&report, self.now);
                 self.publish(&verdicts);
             }
             Event::CollectTick => {
@@ -339,7 +339,7 @@
                 self.plan(Duration::from_millis(100), Event::CollectTick);
             }
             Event::Verdict { b, v } => {
-                self.routers[b].set_verdict(&v, self.now);
+                self.routers[b].apply_verdict(&v, self.now);
             }
             Event::Permits { b } => self.see_permits(b),
             Event::Observe => self.observe(),
--- a/tools/trial/src/model/traffic.rs
+++ b/tools/trial/src/model/traffic.rs
@@ -94,26 +94,26 @@
             Policy::Naive => Some((self.naive[b].pick(now, &mut self.rng)?, None, true)),
             Policy::Oracle => Some((self.best(), None, true)),
             Policy::Belief => {
-                let ask = RequestInfo {
+                let info = RequestInfo {
                     service: self.services[b],
                     repeatable: self.s.repeatable,
                     priority: 0,
                     large_response: false,
-                    aim: Some(self.s.size.deadline / 5),
-                    left: Some(self.s.size.deadline),
+                    target: Some(self.s.size.deadline / 5),
+                    remaining: Some(self.s.size.deadline),
                     route: NameId::of("r"),
                 };
                 let tried = self.requests[request].tried;
                 let tried: Vec<UpstreamKey> = tried.into_iter().collect();
-                let p = self.balancers[b].pick(&ask, &tried, now).ok()?;
+                let p = self.balancers[b].pick(&info, &tried, now).ok()?;
                 self.tell(b);
-                let up = number(self.balancers[b].place(p.upstream)?.name);
+                let up = number(self.balancers[b].endpoint(p.upstream)?.name);
                 self.requests[request].tried = Some(p.upstream);
                 Some((up, Some(p.attempt), p.reason == Reason::LeastLoss))
             }
             _ => {
                 let p = self.routers[b].pick(self.keys[b], true, &[], now).ok()?;
-                let up = number(self.routers[b].upstream(p.upstream)?.0);
+                let up = number(self.routers[b].endpoint(p.upstream)?.0);
                 Some((up, Some(p.attempt), p.reason == Reason::TwoChoices))
             }
         }
@@ -147,7 +147,7 @@
         let r = &self.requests[request];
         if let (false, Some(a)) = (r.over, r.attempt) {
             let b = r.b;
-            self.balancers[b].is_in_flight(a, self.now);
+            self.balancers[b].record_in_flight(a, self.now);
             self.tell(b);
         }
     }
@@ -192,7 +192,7 @@
         if self.in_spell(up) && self.rng.f64() < SPELL_FAILS {
             (ok, secs) = (false, secs / 10.0);
         }
-        let mut kind = Outcome::Whole;
+        let mut kind = Outcome::Completed;
         if self.is_sick(up) && self.now >= FAULT_AT {
             let phase = self.now.since(FAULT_AT).as_millis() / 1_000;
             match self.s.fault {
@@ -202,7 +202,7 @@
                 Fault::Flap if phase.is_multiple_of(2) => secs = 1e6,
                 Fault::Slow => secs *= 10.0,
                 Fault::Fail => (ok, secs) = (false, secs / 10.0),
-                Fault::Cut if self.rng.f64() < 0.33 => kind = Outcome::Wrong,
+                Fault::Cut if self.rng.f64() < 0.33 => kind = Outcome::Malformed,
                 _ => {}
             }
         }
@@ -238,10 +238,10 @@
         if self.requests[request].over {
             return;
         }
-        let good = ok && kind == Outcome::Whole;
+        let good = ok && kind == Outcome::Completed;
         self.close(request, ok, kind);
         let r = &mut self.requests[request];
-        if !good && r.tries < 2 && kind == Outcome::Whole && self.s.repeatable {
+        if !good && r.tries < 2 && kind == Outcome::Completed && self.s.repeatable {
             return self.send(request);
         }
         r.over = true;
@@ -259,18 +259,18 @@
         match r.attempt {
             None if self.s.policy == Policy::Oracle => {}
             None => {
-                self.naive[b].finish(up, ok && kind == Outcome::Whole, now);
+                self.naive[b].finish(up, ok && kind == Outcome::Completed, now);
             }
             Some(a) if self.s.policy == Policy::Belief => {
-                if kind != Outcome::Late {
-                    self.balancers[b].answered(a, ok, now);
+                if kind != Outcome::TimedOut {
+                    self.balancers[b].response_started(a, ok, now);
                 }
                 self.balancers[b].finish(a, kind, now);
                 self.tell(b);
             }
             Some(a) => {
-                if kind != Outcome::Late {
-                    self.routers[b].answered(a, ok, now);
+                if kind != Outcome::TimedOut {
+                    self.routers[b].response_started(a, ok, now);
                 }
                 self.routers[b].finish(a, kind, now);
             }
@@ -281,7 +281,7 @@
         if self.requests[request].over {
             return;
         }
-        self.close(request, false, Outcome::Late);
+        self.close(request, false, Outcome::TimedOut);
         let up = self.requests[request].up;
         self.requests[request].over = true;
         // Cancellation frees the slot, or leaves the queue.
