--- a/crates/honeypulley_mesh/src/held.rs
+++ b/crates/honeypulley_mesh/src/held.rs
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Converts a stored hold to news of it.
+    /// Converts a stored hold to an update.
     fn request_news(&self, unix_now: Duration) -> RequestUpdate {
         RequestUpdate::Held {
             request: Fingerprint(self.request),
--- a/crates/honeypulley_mesh/src/pace.rs
+++ b/crates/honeypulley_mesh/src/pace.rs
@@ -1,4 +1,4 @@
-//! Batching of the news of attempts within a data hall.
+//! Batching of updates about attempts within a data hall.
 //!
 //! The start of an attempt keeps the peers from the same upstream, so it is sent at once. The end
 //! can wait for the next datagram. Every datagram goes to each box of the hall, and two for each
@@ -9,9 +9,9 @@
 use honeypulley_policy::time::Time;
 use std::time::Duration;
 
-/// Maximum delay of the news of a finished attempt, for each other box of the hall.
+/// Maximum delay of an update about a finished attempt, for each other box of the hall.
 ///
-/// In a small hall, where a broadcast is cheap, the news is sent nearly at once.
+/// In a small hall, where a broadcast is cheap, updates are sent nearly at once.
 const DELAY_PER_BOX: Duration = Duration::from_micros(2_500);
 /// Upper bound of that delay in a data hall of any size.
 ///
@@ -24,33 +24,34 @@
     pending: Vec<Pending>,
 }
 
-/// A piece of news with the time at which it was queued.
+/// An update with the time at which it was queued.
 #[derive(Debug)]
 struct Pending {
-    news: Update,
+    update: Update,
     at: Time,
 }
 
 impl UpdateBatcher {
-    /// Queues news that arose at `now`.
-    pub fn add(&mut self, news: Update, now: Time) {
-        self.pending.push(Pending { news, at: now });
+    /// Queues an update that arose at `now`.
+    pub fn add(&mut self, update: Update, now: Time) {
+        self.pending.push(Pending { update, at: now });
     }
 
-    /// Returns when the queued news is due in a hall of `boxes` other boxes.
+    /// Returns when the queued updates are due in a hall of `boxes` other boxes.
     #[must_use]
     pub fn deadline(&self, boxes: usize) -> Option<Time> {
         let first = self.pending.first()?;
-        if self.pending.len() >= MAX_ITEMS || !self.pending.iter().all(|p| p.news.is_deferrable()) {
+        if self.pending.len() >= MAX_ITEMS || !self.pending.iter().all(|p| p.update.is_deferrable())
+        {
             return Some(first.at);
         }
         let delay = DELAY_PER_BOX.saturating_mul(boxes.try_into().unwrap_or(u32::MAX));
         Some(first.at + delay.min(MAX_DELAY))
     }
 
-    /// Removes one datagram's worth of news, oldest first, and sets the age of each end.
+    /// Removes one datagram's worth of updates, oldest first, and sets the age of each end.
     pub fn drain(&mut self, now: Time) -> Vec<Update> {
         let count = self.pending.len().min(MAX_ITEMS);
-        self.pending.drain(..count).map(|p| p.news.with_age(now.since(p.at))).collect()
+        self.pending.drain(..count).map(|p| p.update.with_age(now.since(p.at))).collect()
     }
 }
--- a/crates/honeypulley_mesh/src/peers.rs
+++ b/crates/honeypulley_mesh/src/peers.rs
@@ -83,7 +83,7 @@
                 r = node.receive() => r,
                 r = node.accept(&listener) => r,
                 () = node.run_beacons() => Ok(()),
-                () = node.broadcast_news() => Ok(()),
+                () = node.broadcast_updates() => Ok(()),
                 () = node.broadcast_new_requests() => Ok(()),
                 () = node.outbox.run(&node.socket) => Ok(()),
                 () = node.catch_up() => Ok(()),
--- a/crates/honeypulley_mesh/src/peers/greet.rs
+++ b/crates/honeypulley_mesh/src/peers/greet.rs
@@ -139,7 +139,7 @@
         loop {
             let (to, beliefs) = self.mesh.belief_replies.recv().await;
             for part in beliefs.chunks(MAX_ITEMS) {
-                let body = self.number_news(part.to_vec());
+                let body = self.number_updates(part.to_vec());
                 self.send_to(&[to], body);
             }
         }
--- a/crates/honeypulley_mesh/src/peers/tell.rs
+++ b/crates/honeypulley_mesh/src/peers/tell.rs
@@ -102,13 +102,13 @@
     }
 
     /// Broadcasts this box's observations of upstreams.
-    pub(super) async fn broadcast_news(&self) {
-        let news = &self.mesh.updates_out;
+    pub(super) async fn broadcast_updates(&self) {
+        let updates = &self.mesh.updates_out;
         let mut batcher = UpdateBatcher::default();
         loop {
-            let mut batch: Vec<Update> = self.next_news(&batcher).await.into_iter().collect();
+            let mut batch: Vec<Update> = self.next_update(&batcher).await.into_iter().collect();
             while batch.len() < MAX_ITEMS
-                && let Some(n) = news.pop()
+                && let Some(n) = updates.pop()
             {
                 batch.push(n);
             }
@@ -116,13 +116,13 @@
             let (local, global): (Vec<Update>, Vec<Update>) =
                 batch.into_iter().partition(Update::is_for_hall);
             if !global.is_empty() {
-                let body = self.number_news(global);
+                let body = self.number_updates(global);
                 self.broadcast(body, UPSTREAM_FORWARDERS);
             }
             local.into_iter().for_each(|n| batcher.add(n, now));
             let to: Vec<SocketAddr> = self.mesh.address_book().hall_addresses().collect();
             if batcher.deadline(to.len()).is_some_and(|at| at <= now) {
-                let body = self.number_news(batcher.drain(now));
+                let body = self.number_updates(batcher.drain(now));
                 self.send_to(&to, body);
             }
         }
@@ -130,10 +130,10 @@
 
     /// Broadcasts updates about requests that crash upstreams without delay.
     pub(super) async fn broadcast_new_requests(&self) {
-        let news = &self.mesh.requests_out;
+        let updates = &self.mesh.requests_out;
         loop {
-            let mut items = vec![news.recv().await];
-            items.extend(std::iter::from_fn(|| news.pop()).take(MAX_REQUESTS - 1));
+            let mut items = vec![updates.recv().await];
+            items.extend(std::iter::from_fn(|| updates.pop()).take(MAX_REQUESTS - 1));
             self.broadcast_requests(items);
         }
     }
@@ -162,7 +162,7 @@
     }
 
     /// Awaits an observation; returns `None` when paced observations are due first.
-    async fn next_news(&self, batcher: &UpdateBatcher) -> Option<Update> {
+    async fn next_update(&self, batcher: &UpdateBatcher) -> Option<Update> {
         let next = self.mesh.updates_out.recv();
         let Some(due) = batcher.deadline(self.mesh.address_book().hall_addresses().count()) else {
             return Some(next.await);
@@ -172,7 +172,7 @@
     }
 
     /// Wraps observations into a body with the next sequence number.
-    pub(super) fn number_news(&self, items: Vec<Update>) -> Body {
+    pub(super) fn number_updates(&self, items: Vec<Update>) -> Body {
         Body::News { seq: self.sequence.borrow_mut().next(), items }
     }
 
--- a/crates/honeypulley_mesh/src/serving.rs
+++ b/crates/honeypulley_mesh/src/serving.rs
@@ -1,4 +1,4 @@
-//! Routing and balancing on the serving thread, and the news that they produce.
+//! Routing and balancing on the serving thread, and the updates that they produce.
 
 use crate::doubts::SuspicionLog;
 use crate::list::ListChange;
@@ -26,7 +26,7 @@
 /// Minimum `Retry-After` while this box lacks a table or list.
 const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(400);
 
-/// A balancer and the organisations' limits, whose news is queued for broadcast at once.
+/// A balancer and the organisations' limits, whose updates are queued for broadcast at once.
 #[derive(Debug)]
 pub struct BroadcastBalancer {
     balancer: Balancer,
@@ -35,7 +35,7 @@
 }
 
 impl BroadcastBalancer {
-    /// Wraps a balancer and limits, whose news is sent to the other boxes of `mesh`.
+    /// Wraps a balancer and limits, whose updates are sent to the other boxes of `mesh`.
     #[must_use]
     pub const fn new(balancer: Balancer, limits: FleetRateLimiter, mesh: Arc<Mesh>) -> Self {
         Self { balancer, limits, mesh }
@@ -51,11 +51,11 @@
         &mut self.limits
     }
 
-    /// Queues pending news for broadcast.
+    /// Queues pending updates for broadcast.
     fn announce(&mut self) {
         // Admissions come first, so that one is sent with the attempt that follows it.
-        let news = self.limits.take_updates().into_iter().chain(self.balancer.take_updates());
-        news.for_each(|n| self.mesh.updates_out.push(n));
+        let updates = self.limits.take_updates().into_iter().chain(self.balancer.take_updates());
+        updates.for_each(|n| self.mesh.updates_out.push(n));
     }
 
     /// Admits one request of an organisation, if its fleet-wide limit allows it.
@@ -75,8 +75,8 @@
     }
 
     /// Applies admissions that a peer or another data hall reported.
-    fn apply_limit_news(&mut self, from: NameId, news: Update, now: Time) {
-        match news {
+    fn apply_limit_update(&mut self, from: NameId, update: Update, now: Time) {
+        match update {
             Update::Admitted { subject, sum } => {
                 self.limits.apply_box_count(from, subject, sum, now);
             }
@@ -328,7 +328,7 @@
     OwnAnswer::not_run(StatusCode::SERVICE_UNAVAILABLE, Some(retry_after), why)
 }
 
-/// Applies tables, lists and news to the policy on the serving thread.
+/// Applies tables, lists and updates to the policy on the serving thread.
 #[derive(Debug)]
 pub struct BalancerUpdater {
     /// Shared state of this box.
@@ -346,7 +346,7 @@
             self.apply_updates();
             tokio::select! {
                 () = self.mesh.serve_wakeup.notified() => {}
-                (from, news) = self.mesh.updates_in.recv() => self.apply_news(from, news),
+                (from, update) = self.mesh.updates_in.recv() => self.apply_peer_updates(from, update),
                 requester = self.mesh.belief_requests.recv() => {
                     let now = self.mesh.now();
                     let mut policy = self.policy.lock();
@@ -361,22 +361,22 @@
 }
 
 impl BalancerUpdater {
-    /// Applies a received piece of news and all news queued behind it.
-    fn apply_news(&self, from: NameId, first: Update) {
+    /// Applies a received update and all updates queued behind it.
+    fn apply_peer_updates(&self, from: NameId, first: Update) {
         let mut policy = self.policy.lock();
         let now = self.mesh.now();
         policy.set_scope(now);
         let mut next = Some((from, first));
         let mut beliefs = 0;
-        while let Some((from, news)) = next {
-            beliefs += usize::from(matches!(news, Update::Belief { .. }));
-            policy.apply_limit_news(from, news, now);
-            if let Update::Leaving { upstream } = news
+        while let Some((from, update)) = next {
+            beliefs += usize::from(matches!(update, Update::Belief { .. }));
+            policy.apply_limit_update(from, update, now);
+            if let Update::Leaving { upstream } = update
                 && let Some(upstream) = policy.balancer().record_shutdown(upstream)
             {
                 log::info!(upstream, from = from.0; "news: {upstream} announced its shutdown");
             }
-            if let Some(suspicion) = policy.balancer().apply_update(from, news, now) {
+            if let Some(suspicion) = policy.balancer().apply_update(from, update, now) {
                 self.doubts.lock().log(from, &suspicion, now);
             }
             next = self.mesh.updates_in.pop();
--- a/crates/honeypulley_mesh/src/state.rs
+++ b/crates/honeypulley_mesh/src/state.rs
@@ -130,7 +130,7 @@
     pub belief_replies: Ring<(SocketAddr, Vec<Update>)>,
     /// Wakes the serving thread after a change of the table or the list.
     pub serve_wakeup: Notify,
-    /// Wakes the peer duty to broadcast news.
+    /// Wakes the peer duty to broadcast updates.
     pub broadcast_wakeup: Notify,
     /// Wakes the peer duty to pull a missing routing table.
     pub pull_wakeup: Notify,
--- a/crates/honeypulley_mesh/src/suspects.rs
+++ b/crates/honeypulley_mesh/src/suspects.rs
@@ -8,10 +8,10 @@
     fn update(&self, change: &mut dyn FnMut(&mut Quarantine)) {
         let mut quarantine = self.quarantine.lock();
         change(&mut quarantine);
-        let (holds, news) = (quarantine.take_new_holds(), quarantine.take_updates());
+        let (holds, updates) = (quarantine.take_new_holds(), quarantine.take_updates());
         drop(quarantine);
         holds.iter().for_each(log_hold);
-        news.into_iter().for_each(|n| self.requests_out.push(n));
+        updates.into_iter().for_each(|n| self.requests_out.push(n));
     }
 }
 
@@ -31,6 +31,6 @@
     /// Applies a peer's updates about suspect requests.
     pub fn apply_request_updates(&self, items: Vec<RequestUpdate>) {
         let now = self.now();
-        self.update(&mut |q| items.iter().for_each(|&news| q.apply_update(news, now)));
+        self.update(&mut |q| items.iter().for_each(|&update| q.apply_update(update, now)));
     }
 }
--- a/crates/honeypulley_mesh/tests/pace.rs
+++ b/crates/honeypulley_mesh/tests/pace.rs
@@ -1,4 +1,4 @@
-//! News of finished attempts is delayed to be batched with other news, for a bounded time.
+//! Updates about finished attempts are delayed to be batched with others, for a bounded time.
 
 use honeypulley_mesh::pace::UpdateBatcher;
 use honeypulley_policy::balance::Update;
@@ -40,7 +40,7 @@
 fn an_end_alone_is_sent_soon(#[case] boxes: usize, #[case] max_ms: u64) {
     let mut batcher = UpdateBatcher::default();
     batcher.add(ended(0), Time::from_millis(100));
-    let due = batcher.deadline(boxes).expect("news is pending");
+    let due = batcher.deadline(boxes).expect("updates are pending");
     assert!(due <= Time::from_millis(100 + max_ms), "{due:?}");
 }
 
@@ -62,8 +62,8 @@
     let mut events = events.into_iter().peekable();
     let mut datagrams = 0;
     for now in 0..(secs + 1) * 1_000 {
-        while let Some((at, news)) = events.next_if(|&(at, _)| at <= now) {
-            batcher.add(news, Time::from_millis(at));
+        while let Some((at, update)) = events.next_if(|&(at, _)| at <= now) {
+            batcher.add(update, Time::from_millis(at));
         }
         let now = Time::from_millis(now);
         while batcher.deadline(LARGE).is_some_and(|at| at <= now) {
--- a/crates/honeypulley_policy/benches/pick.rs
+++ b/crates/honeypulley_policy/benches/pick.rs
@@ -49,8 +49,8 @@
 /// Sets a rate limit, far above the traffic, on the first `upstreams` upstreams.
 fn set_limits(b: &mut Balancer, upstreams: usize, now: Time) {
     for i in 0..upstreams {
-        let news = Update::Limit { upstream: NameId::of(&format!("u{i}")), rate: Some(9e5) };
-        b.apply_update(NameId::of("peer0"), news, now);
+        let update = Update::Limit { upstream: NameId::of(&format!("u{i}")), rate: Some(9e5) };
+        b.apply_update(NameId::of("peer0"), update, now);
     }
 }
 
--- a/crates/honeypulley_policy/src/balance.rs
+++ b/crates/honeypulley_policy/src/balance.rs
@@ -1,7 +1,7 @@
 //! Load balancing by expected loss, for fleets whose boxes each see little traffic.
 //!
 //! Every box holds a [`Belief`] about each upstream, updated from its own attempts and from the
-//! announcements of its peers. Each request goes to the upstream for which failure probability,
+//! updates of its peers. Each request goes to the upstream for which failure probability,
 //! queueing delay and distance cost least together. Upstreams are never ejected, so that the
 //! availability floor can't be violated by ejections: an upstream that is believed unhealthy is
 //! still used when the others would cost more.
@@ -73,7 +73,7 @@
     /// Returns the id of this incarnation of the upstream.
     ///
     /// A restarted upstream keeps no state, so nothing that was learnt of the previous
-    /// incarnation applies to it, and announcements about the previous one name an unknown id.
+    /// incarnation applies to it, and updates about the previous one name an unknown id.
     /// Start times are only compared for equality, so a clock that was set back also gives a
     /// new incarnation.
     #[must_use]
@@ -461,7 +461,7 @@
         }
     }
 
-    /// Drains the announcements to broadcast.
+    /// Drains the updates to broadcast.
     pub fn take_updates(&mut self) -> Vec<Update> {
         std::mem::take(&mut self.updates)
     }
--- a/crates/honeypulley_policy/src/balance/heard.rs
+++ b/crates/honeypulley_policy/src/balance/heard.rs
@@ -18,7 +18,7 @@
 /// network paths, and two such peers would corroborate each other.
 pub(super) const CONTRADICTED_TIME: Duration = Duration::from_secs(5);
 
-/// An upstream that became suspect by a peer's announcement.
+/// An upstream that became suspect by a peer's update.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Suspicion {
     /// Name of the upstream.
@@ -32,7 +32,7 @@
 }
 
 impl Balancer {
-    /// Applies a peer's announcement; returns a suspicion that it raised.
+    /// Applies a peer's update; returns a suspicion that it raised.
     pub fn apply_update(&mut self, from: NameId, update: Update, now: Time) -> Option<Suspicion> {
         match update {
             Update::Seen { upstream, observation } => {
@@ -137,7 +137,7 @@
     /// Records that an attempt of a box of this data hall ended at `at`.
     ///
     /// Not every success is broadcast. Within a data hall, boxes learn of each other's successful
-    /// answers and their latency from this announcement.
+    /// answers and their latency from this update.
     fn apply_ended(&mut self, from: NameId, upstream: NameId, count: u16, served: bool, at: Time) {
         let before = self.apply_open(from, upstream, count, at);
         if let Some(p) = before.filter(|p| served && count <= p.count) {
--- a/crates/honeypulley_policy/src/balance/learn.rs
+++ b/crates/honeypulley_policy/src/balance/learn.rs
@@ -71,7 +71,7 @@
         let (rule, fleet_scope) = (self.retry_rule, self.fleet_scope);
         let Some(s) = self.services.get_mut(k) else { return false };
         if !s.retries.spend(&rule, fleet_scope, why, now) {
-            if s.retries.announcement_due(now) {
+            if s.retries.update_due(now) {
                 self.updates.push(Update::Denied {
                     service: s.id,
                     requests: s.retries.requests(),
--- a/crates/honeypulley_policy/src/balance/news.rs
+++ b/crates/honeypulley_policy/src/balance/news.rs
@@ -5,7 +5,7 @@
 use crate::fleet_limits::HallCount;
 use std::time::Duration;
 
-/// An announcement of one box to its peers.
+/// An update of one box to its peers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Update {
     /// An upstream was observed.
@@ -32,7 +32,7 @@
         served: bool,
         /// Requests of other data halls there, by the load report in its answer.
         remote: Option<u8>,
-        /// Time since it ended, by which the announcement was delayed.
+        /// Time since it ended, by which the update was delayed.
         age: Duration,
     },
     /// An upstream of the sender's data hall has recovered.
@@ -109,7 +109,7 @@
         matches!(self, Self::Open { .. } | Self::Ended { .. } | Self::Admitted { .. })
     }
 
-    /// Returns whether it may be delayed and batched with later announcements.
+    /// Returns whether it may be delayed and batched with later updates.
     ///
     /// The end of an attempt is not urgent; an admission is soon followed by its attempt.
     #[must_use]
@@ -117,7 +117,7 @@
         matches!(self, Self::Ended { .. } | Self::Admitted { .. })
     }
 
-    /// Returns the announcement with its delay since it was created.
+    /// Returns the update with its delay since it was created.
     #[must_use]
     pub const fn with_age(self, age: Duration) -> Self {
         match self {
--- a/crates/honeypulley_policy/src/balance/retry.rs
+++ b/crates/honeypulley_policy/src/balance/retry.rs
@@ -103,7 +103,7 @@
     announced: Option<Time>,
 }
 
-/// A peer's announcement of its requests and retries for a service.
+/// A peer's update of its requests and retries for a service.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RetryReport {
     pub(super) from: NameId,
@@ -173,7 +173,7 @@
         self.expire(rule, now);
     }
 
-    /// Records a peer's announcement of its requests and retries within the window.
+    /// Records a peer's update of its requests and retries within the window.
     ///
     /// Retries beyond those received one by one were lost in transit, for example in a
     /// partition, and count as well.
@@ -204,7 +204,7 @@
     ///
     /// Otherwise boxes that are denied would never learn of each other's traffic, and thereby
     /// of a larger budget.
-    pub(super) fn announcement_due(&mut self, now: Time) -> bool {
+    pub(super) fn update_due(&mut self, now: Time) -> bool {
         let due = self.announced.is_none_or(|at| now.since(at) > ANNOUNCE_INTERVAL);
         if due {
             self.announced = Some(now);
@@ -224,7 +224,7 @@
 
     /// Takes one retry from the budget; returns whether it is allowed.
     ///
-    /// The fleet's limit is estimated from received announcements. An isolated box has none,
+    /// The fleet's limit is estimated from received updates. An isolated box has none,
     /// and is limited to an equal share of the slack plus its own traffic.
     pub(super) fn spend(
         &mut self,
--- a/crates/honeypulley_policy/src/fleet_limits/buckets.rs
+++ b/crates/honeypulley_policy/src/fleet_limits/buckets.rs
@@ -219,21 +219,21 @@
         };
     }
 
-    /// Returns the subjects whose announcement to the other data halls is due.
+    /// Returns the subjects whose update to the other data halls is due.
     ///
-    /// Considers only subjects with admissions or announcements since the last call.
+    /// Considers only subjects with admissions or updates since the last call.
     #[must_use]
     pub fn due_updates(&mut self, now: Time) -> Vec<NameId> {
         let (rule, scope) = (self.rule, self.scope);
         let changed = std::mem::take(&mut self.changed);
         let is_due = |id: &NameId| {
             let usage = self.usages.get_mut(id);
-            usage.is_some_and(|u| u.is_announcement_due(rule, scope, now))
+            usage.is_some_and(|u| u.is_update_due(rule, scope, now))
         };
         changed.into_iter().filter(is_due).collect()
     }
 
-    /// Queues an announcement of this data hall's admissions for the other halls.
+    /// Queues an update of this data hall's admissions for the other halls.
     ///
     /// `rank` is this box's rank among the hall's announcers. A box with a rank above zero is a
     /// backup, which stays silent while the first one announces.
@@ -252,7 +252,7 @@
         self.updates.push(Update::HallAdmitted { subject: id, count });
     }
 
-    /// Drains the queued announcements.
+    /// Drains the queued updates.
     pub fn take_updates(&mut self) -> Vec<Update> {
         std::mem::take(&mut self.updates)
     }
--- a/crates/honeypulley_policy/src/fleet_limits/hall_count.rs
+++ b/crates/honeypulley_policy/src/fleet_limits/hall_count.rs
@@ -42,7 +42,7 @@
     }
 }
 
-/// Last announcement of another data hall.
+/// Last update of another data hall.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RemoteHall {
     /// The announcing box; sums of different boxes can't be compared.
--- a/crates/honeypulley_policy/src/fleet_limits/usage.rs
+++ b/crates/honeypulley_policy/src/fleet_limits/usage.rs
@@ -8,18 +8,18 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Fraction of its even share below which a data hall makes no announcements.
+/// Fraction of its even share below which a data hall makes no updates.
 ///
 /// While all halls stay below it, the limit holds without any exchange. At the usual load of
 /// 5/8 of a limit, a hall may exceed its even share by a quarter before it announces.
 const SILENT_SHARE: f64 = 0.8;
 /// Fraction of the burst that a data hall may admit beyond that share unannounced.
 const SILENT_BURST_SHARE: f64 = 0.15;
-/// Minimum time between two announcements of a data hall about one subject.
+/// Minimum time between two updates of a data hall about one subject.
 ///
 /// The excess admitted in the meantime is small compared with the allowed slack.
 pub(super) const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(50);
-/// Time for which an announcement of another data hall makes this one announce as well.
+/// Time for which an update of another data hall makes this one announce as well.
 const REPLY_TIME: Duration = Duration::from_secs(2);
 /// Fraction of the burst below which a subject counts as near its limit.
 const NEAR_LIMIT_SHARE: f64 = 0.25;
@@ -63,15 +63,15 @@
     pub(super) hall_recent: SlidingCount,
     /// Cumulative admissions in this data hall known to this box, modulo 2^16.
     pub(super) hall_sum: u16,
-    /// Last announcements of the other data halls.
+    /// Last updates of the other data halls.
     pub(super) remote_halls: BTreeMap<NameId, RemoteHall>,
-    /// Time at which an announcement was last found to be due.
+    /// Time at which an update was last found to be due.
     pub(super) due_at: Option<Time>,
-    /// Time of this data hall's last announcement to the others.
+    /// Time of this data hall's last update to the others.
     pub(super) announced_at: Option<Time>,
     /// Whether there are admissions that were not announced to the other data halls.
     pub(super) unannounced: bool,
-    /// Time of the last announcement of a peer about this subject.
+    /// Time of the last update of a peer about this subject.
     pub(super) heard_at: Time,
     /// Whether the subject was near its limit when this box was last connected.
     pub(super) near_limit: bool,
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Returns the remaining tokens in the form used for announcements.
+    /// Returns the remaining tokens in the form used for updates.
     pub(super) fn announced_level(&self) -> i16 {
         // The cast saturates at the bounds of the type.
         self.bucket.level.floor() as i16
@@ -155,7 +155,7 @@
         self.limit.rate * share / scope.boxes.max(1) as f64
     }
 
-    /// Returns whether this box no longer receives its peers' announcements.
+    /// Returns whether this box no longer receives its peers' updates.
     ///
     /// Peers announce a subject near its limit continuously. The exception are limits so small
     /// that nothing is admitted for a while: if a box took that silence for isolation, it would
@@ -180,13 +180,8 @@
         self.unannounced = true;
     }
 
-    /// Returns whether an announcement is due, at most once per [`ANNOUNCE_INTERVAL`].
-    pub(super) fn is_announcement_due(
-        &mut self,
-        rule: LimitRule,
-        scope: LimitScope,
-        now: Time,
-    ) -> bool {
+    /// Returns whether an update is due, at most once per [`ANNOUNCE_INTERVAL`].
+    pub(super) fn is_update_due(&mut self, rule: LimitRule, scope: LimitScope, now: Time) -> bool {
         let is_too_soon = self.due_at.is_some_and(|at| now.since(at) < ANNOUNCE_INTERVAL);
         if scope.halls < 2 || !self.unannounced || is_too_soon {
             return false;
--- a/crates/honeypulley_policy/src/quarantine.rs
+++ b/crates/honeypulley_policy/src/quarantine.rs
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Applies an announcement of a peer.
+    /// Applies an update of a peer.
     pub fn apply_update(&mut self, update: RequestUpdate, now: Time) {
         match update {
             RequestUpdate::Crashed { request, scope, upstream, since_sent, since_crash } => {
@@ -249,7 +249,7 @@
         self.records.is_empty()
     }
 
-    /// Drains the queued announcements.
+    /// Drains the queued updates.
     pub fn take_updates(&mut self) -> Vec<RequestUpdate> {
         std::mem::take(&mut self.updates)
     }
@@ -338,7 +338,7 @@
 }
 
 impl Hold {
-    /// Returns an announcement of this hold.
+    /// Returns an update about this hold.
     #[must_use]
     pub const fn to_update(&self) -> RequestUpdate {
         let Self { request, scope, remaining, trials, .. } = *self;
--- a/crates/honeypulley_policy/tests/balance/budget.rs
+++ b/crates/honeypulley_policy/tests/balance/budget.rs
@@ -101,7 +101,7 @@
 
 /// Returns how many retries a fleet of newly started boxes makes at once.
 ///
-/// All boxes receive each other's announcements.
+/// All boxes receive each other's updates.
 fn retries_of_new_boxes(rule: RetryRule, now: Time) -> usize {
     let service = NameId::of("s");
     let mut boxes: Vec<Balancer> = (0..6).map(|seed| Balancer::new("h", rule, seed)).collect();
@@ -118,9 +118,9 @@
             continue;
         }
         retries += 1;
-        let news = Update::Retry { service, requests: 0, retries: 1 };
+        let update = Update::Retry { service, requests: 0, retries: 1 };
         for b in boxes.iter_mut().enumerate().filter(|(j, _)| *j != i).map(|(_, b)| b) {
-            b.apply_update(NameId(i as u64), news, now);
+            b.apply_update(NameId(i as u64), update, now);
         }
     }
     retries
--- a/crates/honeypulley_policy/tests/balance/choice.rs
+++ b/crates/honeypulley_policy/tests/balance/choice.rs
@@ -1,4 +1,4 @@
-//! Selection by expected loss, beliefs and announcements of one box.
+//! Selection by expected loss, beliefs and updates of one box.
 
 use crate::{RULE, balancer, failure, info, listed, send};
 use honeypulley_policy::balance::{Balancer, Update};
@@ -145,7 +145,7 @@
     assert!(sick("u1") > 0.5, "{}", sick("u1"));
     assert!(
         sick("u2") > 0.8,
-        "a box keeps the belief from announcements it has received: {}",
+        "a box keeps the belief from updates it has received: {}",
         sick("u2")
     );
 }
--- a/crates/honeypulley_policy/tests/balance/halls.rs
+++ b/crates/honeypulley_policy/tests/balance/halls.rs
@@ -61,8 +61,8 @@
 fn suspect_local(b: &mut Balancer, at: u64) {
     for i in 0..5 {
         let upstream = NameId::of(&format!("near{i}"));
-        let news = Update::Seen { upstream, observation: Observation::Failure };
-        b.apply_update(NameId::of("peer"), news, Time::from_millis(at));
+        let update = Update::Seen { upstream, observation: Observation::Failure };
+        b.apply_update(NameId::of("peer"), update, Time::from_millis(at));
     }
 }
 
--- a/crates/honeypulley_policy/tests/balance/main.rs
+++ b/crates/honeypulley_policy/tests/balance/main.rs
@@ -89,7 +89,7 @@
     if limit.is_none() { b.clear_limit(pick.attempt) } else { changes.limit }
 }
 
-/// Returns a peer's announcement that an upstream failed at once.
+/// Returns a peer's update that an upstream failed at once.
 fn failure(name: &str) -> Update {
     Update::Seen { upstream: NameId::of(name), observation: Observation::Failure }
 }
--- a/crates/honeypulley_policy/tests/balance/named.rs
+++ b/crates/honeypulley_policy/tests/balance/named.rs
@@ -34,10 +34,10 @@
     Some(name)
 }
 
-/// Applies a peer's announcement of a rate limit of `u0`.
+/// Applies a peer's update about a rate limit of `u0`.
 fn announce_limit(b: &mut Balancer, rate: Option<f32>, ms: u64) {
-    let news = Update::Limit { upstream: NameId::of("u0"), rate };
-    b.apply_update(NameId(9), news, at(ms));
+    let update = Update::Limit { upstream: NameId::of("u0"), rate };
+    b.apply_update(NameId(9), update, at(ms));
 }
 
 /// Sends requests, 20 ms apart, and counts those that `u0` gets.
@@ -54,7 +54,7 @@
     assert!((30..=45).contains(&got), "{got} requests in 20 s with a limit of 2/s");
 }
 
-/// Sends of other boxes of the data hall count despite lost announcements.
+/// Sends of other boxes of the data hall count despite lost updates.
 #[test]
 fn sends_of_the_data_hall_count_by_their_sums() {
     let mut b = balancer(3);
@@ -65,8 +65,8 @@
         let ms = u64::from(s) * 1_000;
         // Every other datagram of the peer is lost.
         if s % 2 == 1 {
-            let news = Update::Admitted { subject: NameId::of("u0"), sum: s };
-            b.apply_update(NameId(9), news, at(ms));
+            let update = Update::Admitted { subject: NameId::of("u0"), sum: s };
+            b.apply_update(NameId(9), update, at(ms));
         }
         got += count_u0(&mut b, ms, ms + 1_000, Some(1.0));
     }
@@ -81,13 +81,13 @@
     let mut b = balancer(1);
     send_one(&mut b, &[], Some(5.0), 0);
     let limit = Update::Limit { upstream: NameId::of("u0"), rate: Some(5.0) };
-    let news = b.take_updates();
-    assert!(news.contains(&limit) && !limit.is_for_hall(), "{news:?}");
+    let updates = b.take_updates();
+    assert!(updates.contains(&limit) && !limit.is_for_hall(), "{updates:?}");
     send_one(&mut b, &[], Some(5.0), 300);
-    let news = b.take_updates();
-    assert!(!news.contains(&limit), "an unchanged limit is not announced again at once");
+    let updates = b.take_updates();
+    assert!(!updates.contains(&limit), "an unchanged limit is not announced again at once");
     let is_sent = |n: &Update| matches!(n, Update::Admitted { .. }) && n.is_for_hall();
-    assert_eq!(news.iter().filter(|n| is_sent(n)).count(), 1, "{news:?}");
+    assert_eq!(updates.iter().filter(|n| is_sent(n)).count(), 1, "{updates:?}");
     send_one(&mut b, &[], Some(5.0), 2_500);
     assert!(
         b.take_updates().contains(&limit),
@@ -101,8 +101,8 @@
     let mut b = balancer(2);
     let info = info(&b, true);
     for u in ["u0", "u1"] {
-        let news = Update::Limit { upstream: NameId::of(u), rate: Some(0.1) };
-        b.apply_update(NameId(9), news, at(0));
+        let update = Update::Limit { upstream: NameId::of(u), rate: Some(0.1) };
+        b.apply_update(NameId(9), update, at(0));
     }
     let mut sent = 0;
     for ms in (0..4_000).step_by(10) {
@@ -225,8 +225,8 @@
     for (hall, part) in [("h", 0.75), ("g", 0.25)] {
         let mut b = two_halls(hall);
         for u in ["u0", "u1"] {
-            let news = Update::Limit { upstream: NameId::of(u), rate: Some(8.0) };
-            b.apply_update(NameId(9), news, at(0));
+            let update = Update::Limit { upstream: NameId::of(u), rate: Some(8.0) };
+            b.apply_update(NameId(9), update, at(0));
         }
         let got = count_u0(&mut b, 0, 20_000, Some(8.0)) as f64;
         let most = part * 8.0_f64.mul_add(20.0, 10.5);
--- a/crates/honeypulley_policy/tests/balance/signals.rs
+++ b/crates/honeypulley_policy/tests/balance/signals.rs
@@ -49,8 +49,8 @@
     b.take_updates();
     announce_shutdown(&mut b, 0);
     let leaving = Update::Leaving { upstream: NameId::of("u0") };
-    let news = b.take_updates();
-    assert!(news.contains(&leaving) && !leaving.is_for_hall(), "{news:?}");
+    let updates = b.take_updates();
+    assert!(updates.contains(&leaving) && !leaving.is_for_hall(), "{updates:?}");
     assert_eq!(sent_to_u0(&mut b, 10), 0);
     assert!(!b.take_updates().contains(&leaving));
 }
--- a/crates/honeypulley_policy/tests/floor.rs
+++ b/crates/honeypulley_policy/tests/floor.rs
@@ -1,6 +1,6 @@
 //! Tests that healthy upstreams receive requests while most of their service hangs.
 //!
-//! The boxes of one simulated data hall exchange their news without delay. The simulation uses no
+//! The boxes of one simulated data hall exchange their updates without delay. The simulation uses no
 //! sockets and no clock, so it gives the same result in each run.
 
 use honeypulley_policy::balance::{Balancer, FleetScope, RetryRule, UpstreamEntry};
@@ -98,7 +98,7 @@
         self.pending.push(PendingAttempt { from, key: pick.attempt, ends: now + took, outcome });
     }
 
-    /// Ends attempts that are due, checks the pending ones and delivers all news.
+    /// Ends attempts that are due, checks the pending ones and delivers all updates.
     fn step(&mut self, now: u64) {
         let at = Time::from_millis(now);
         for w in &self.pending {
@@ -114,11 +114,11 @@
         }
         self.pending.retain(|w| now < w.ends);
         for from in 0..self.boxes.len() {
-            let news = self.boxes[from].take_updates();
+            let updates = self.boxes[from].take_updates();
             let sender = NameId::of(&from.to_string());
             for (to, b) in self.boxes.iter_mut().enumerate() {
                 if to != from {
-                    news.iter().for_each(|&n| drop(b.apply_update(sender, n, at)));
+                    updates.iter().for_each(|&n| drop(b.apply_update(sender, n, at)));
                 }
             }
         }
--- a/crates/honeypulley_policy/tests/limits/fleet.rs
+++ b/crates/honeypulley_policy/tests/limits/fleet.rs
@@ -53,7 +53,7 @@
 pub struct Message {
     pub from: BoxId,
     pub to: BoxId,
-    pub news: Update,
+    pub update: Update,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/honeypulley_policy/tests/limits/ways.rs
+++ b/crates/honeypulley_policy/tests/limits/ways.rs
@@ -15,7 +15,7 @@
 
 /// Enforcement of the limit on one box.
 pub trait Limiter {
-    /// Returns whether a request is admitted, and appends announcements to `out`.
+    /// Returns whether a request is admitted, and appends updates to `out`.
     fn admit(&mut self, fleet: &Fleet, now: Time, out: &mut Vec<Message>) -> bool;
     /// Applies a message of another box.
     fn receive(&mut self, fleet: &Fleet, m: &Message, now: Time, out: &mut Vec<Message>);
@@ -59,12 +59,12 @@
                 self.limits.announce(id, rank, now);
             }
         }
-        for news in self.limits.take_updates() {
-            let to = match news {
+        for update in self.limits.take_updates() {
+            let to = match update {
                 Update::Admitted { .. } => fleet.hall_peers(self.this_box),
                 _ => fleet.others(self.this_box),
             };
-            out.extend(to.map(|to| Message { from: self.this_box, to, news }));
+            out.extend(to.map(|to| Message { from: self.this_box, to, update }));
         }
     }
 }
@@ -80,7 +80,7 @@
     fn receive(&mut self, fleet: &Fleet, m: &Message, now: Time, out: &mut Vec<Message>) {
         let from = fleet.id(m.from);
         self.set_scope(fleet, now);
-        match m.news {
+        match m.update {
             Update::Admitted { subject, sum } => {
                 self.limits.apply_box_count(from, subject, sum, now);
             }
@@ -117,7 +117,7 @@
     }
 }
 
-/// Each box admits an equal share without announcements, like the product's own interface.
+/// Each box admits an equal share without updates, like the product's own interface.
 pub struct EqualShare(Bucket, f64);
 
 impl EqualShare {
@@ -169,8 +169,8 @@
             return;
         }
         self.requested_at = Some(now);
-        let news = Update::Admitted { subject: organisation(), sum: 0 };
-        out.push(Message { from: self.this_box, to: fleet.token_holder(now), news });
+        let update = Update::Admitted { subject: organisation(), sum: 0 };
+        out.push(Message { from: self.this_box, to: fleet.token_holder(now), update });
     }
 }
 
@@ -188,15 +188,15 @@
     }
 
     fn receive(&mut self, fleet: &Fleet, m: &Message, now: Time, out: &mut Vec<Message>) {
-        let Update::Admitted { sum, .. } = m.news else { return };
+        let Update::Admitted { sum, .. } = m.update else { return };
         if sum > 0 {
             self.tokens += sum;
             self.requested_at = None;
         } else if fleet.token_holder(now) == self.this_box {
             let granted = (0..BATCH).take_while(|_| self.bucket.take(1.0, now)).count() as u16;
-            let news = Update::Admitted { subject: organisation(), sum: granted };
+            let update = Update::Admitted { subject: organisation(), sum: granted };
             if granted > 0 {
-                out.push(Message { from: self.this_box, to: m.from, news });
+                out.push(Message { from: self.this_box, to: m.from, update });
             }
         }
     }
@@ -206,7 +206,7 @@
     }
 }
 
-/// Each box admits the whole limit without announcements.
+/// Each box admits the whole limit without updates.
 pub struct Alone(Bucket);
 
 impl Alone {
@@ -286,11 +286,11 @@
         }
         self.set_scope(fleet, now);
         let admitted = self.limits.admit(organisation(), now).is_ok();
-        for news in self.limits.take_updates() {
+        for update in self.limits.take_updates() {
             out.extend(fleet.hall_peers(self.this_box).map(|to| Message {
                 from: self.this_box,
                 to,
-                news,
+                update,
             }));
         }
         admitted
@@ -298,7 +298,7 @@
 
     fn receive(&mut self, fleet: &Fleet, m: &Message, now: Time, _: &mut Vec<Message>) {
         self.set_scope(fleet, now);
-        if let Update::Admitted { subject, sum } = m.news {
+        if let Update::Admitted { subject, sum } = m.update {
             self.limits.apply_box_count(fleet.id(m.from), subject, sum, now);
         }
     }
--- a/crates/honeypulley_policy/tests/load/hall.rs
+++ b/crates/honeypulley_policy/tests/load/hall.rs
@@ -1,7 +1,7 @@
 //! Discrete-event simulation of the boxes, upstreams and clients of one data hall.
 //!
 //! The simulation uses no sockets and no clock, so a seed always gives the same result. News of one
-//! box reach the others after [`NEWS_DELAY_MS`], as by datagram.
+//! box reach the others after [`UPDATE_DELAY_MS`], as by datagram.
 
 use crate::plan::{Plan, Policy};
 use crate::worker::Worker;
@@ -20,9 +20,9 @@
 
 /// Step of the simulated time, in ms.
 const STEP_MS: u64 = 5;
-/// Delay of news between boxes, in ms: network and scheduling on a busy box.
-const NEWS_DELAY_MS: u64 = 15;
-/// Time per box for which news of finished attempts is batched, in ms.
+/// Delay of updates between boxes, in ms: network and scheduling on a busy box.
+const UPDATE_DELAY_MS: u64 = 15;
+/// Time per box for which updates about finished attempts is batched, in ms.
 ///
 /// Boxes limit the total to [`MAX_BATCH_MS`].
 const BATCH_PER_BOX_MS: f64 = 2.5;
@@ -132,8 +132,8 @@
     by_name: BTreeMap<String, usize>,
     /// Upstream keys of each box, valid once it has sent a request there.
     keys: Vec<Vec<UpstreamKey>>,
-    news: VecDeque<(u64, usize, Vec<Update>)>,
-    /// Batched news of each box and the times at which they arose.
+    updates: VecDeque<(u64, usize, Vec<Update>)>,
+    /// Batched updates of each box and the times at which they arose.
     batched: Vec<Vec<(u64, Update)>>,
     requests: Vec<Request>,
     /// Start time of each request and whether it was served.
@@ -175,7 +175,7 @@
             boxes: (0..plan.boxes).map(|i| new_box(&plan, i as u64)).collect(),
             by_name: (0..plan.upstreams).map(|i| (name(i), i)).collect(),
             keys: vec![vec![UpstreamKey::default(); plan.upstreams]; plan.boxes],
-            news: VecDeque::new(),
+            updates: VecDeque::new(),
             batched: vec![Vec::new(); plan.boxes],
             requests: Vec::new(),
             outcomes: Vec::new(),
@@ -298,10 +298,10 @@
 
     fn step(&mut self, now: u64) {
         let at = Time::from_millis(now);
-        while let Some((_, from, news)) = self.news.pop_front_if(|(due, ..)| *due <= now) {
+        while let Some((_, from, updates)) = self.updates.pop_front_if(|(due, ..)| *due <= now) {
             let sender = NameId(from as u64 + 1);
             for (_, b) in self.boxes.iter_mut().enumerate().filter(|(to, _)| *to != from) {
-                news.iter().for_each(|&n| drop(b.apply_update(sender, n, at)));
+                updates.iter().for_each(|&n| drop(b.apply_update(sender, n, at)));
             }
         }
         for r in std::mem::take(&mut self.requests) {
@@ -314,8 +314,8 @@
             let waits = batched.first().is_none_or(|&(at, _)| now < at + hold);
             if !waits || !batched.iter().all(|(_, n)| n.is_deferrable()) {
                 let aged = |(at, n): (u64, Update)| n.with_age(Duration::from_millis(now - at));
-                let news = batched.drain(..).map(aged).collect();
-                self.news.push_back((now + NEWS_DELAY_MS, from, news));
+                let updates = batched.drain(..).map(aged).collect();
+                self.updates.push_back((now + UPDATE_DELAY_MS, from, updates));
             }
         }
     }
--- a/crates/honeypulley_policy/tests/quarantine/fleet.rs
+++ b/crates/honeypulley_policy/tests/quarantine/fleet.rs
@@ -2,7 +2,7 @@
 //!
 //! Each upstream runs about twenty requests of many boxes, which all fail in a crash and become
 //! suspects. Callers of failed requests retry a few times. The caller of the bad request retries
-//! forever, on any box. Some announcements between boxes are lost.
+//! forever, on any box. Some updates between boxes are lost.
 
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::quarantine::{Crash, Fingerprint, Fingerprints, Quarantine, Restriction};
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 const STEP: Duration = Duration::from_millis(5);
-/// Delay of announcements to the other boxes, in steps.
+/// Delay of updates to the other boxes, in steps.
 const ANNOUNCE_STEPS: u64 = 1;
 /// Upper bound of the random duration of a request, in steps.
 const MAX_WORK: u64 = 80;
@@ -36,7 +36,7 @@
     upstreams: usize,
     /// Requests that arrive in each step.
     arrivals: usize,
-    /// Share of announcements that each box loses.
+    /// Share of updates that each box loses.
     loss_rate: f64,
     has_bad: bool,
     /// Crashes that are unrelated to requests, spread evenly over the run.
@@ -212,13 +212,13 @@
         }
     }
 
-    /// Delivers the announcements of a box to the others.
+    /// Delivers the updates of a box to the others.
     fn broadcast(&mut self, from: usize, step: u64) {
         let now = time(step + ANNOUNCE_STEPS);
-        for news in self.boxes[from].take_updates() {
+        for update in self.boxes[from].take_updates() {
             for (i, b) in self.boxes.iter_mut().enumerate() {
                 if i != from && self.rng.f64() >= self.params.loss_rate {
-                    b.apply_update(news, now);
+                    b.apply_update(update, now);
                 }
             }
         }
--- a/crates/honeypulley_policy/tests/quarantine/main.rs
+++ b/crates/honeypulley_policy/tests/quarantine/main.rs
@@ -74,13 +74,13 @@
     local.take_updates();
     local.record_success(BAD, at(3_000));
     assert_eq!(local.restriction(BAD, at(3_000)), Restriction::Clear);
-    for news in local.take_updates() {
-        remote.apply_update(news, at(3_010));
+    for update in local.take_updates() {
+        remote.apply_update(update, at(3_010));
     }
     assert_eq!(remote.restriction(BAD, at(3_010)), Restriction::Clear);
-    // Delayed announcements from before the success are ignored.
-    for news in with_crashes(2).take_updates() {
-        remote.apply_update(news, at(3_020));
+    // Delayed updates from before the success are ignored.
+    for update in with_crashes(2).take_updates() {
+        remote.apply_update(update, at(3_020));
     }
     assert_eq!(
         remote.restriction(BAD, at(3_020)),
--- a/crates/honeypulley_proxy/src/body.rs
+++ b/crates/honeypulley_proxy/src/body.rs
@@ -182,7 +182,7 @@
             Poll::Ready(Some(Err(_))) => self.finish(Outcome::Malformed),
             Poll::Ready(None) => self.finish(Outcome::Completed),
             Poll::Ready(Some(Ok(_))) if self.inner.is_end_stream() => {
-                self.finish(Outcome::Completed)
+                self.finish(Outcome::Completed);
             }
             _ => {}
         }
