--- a/crates/honeypulley_policy/src/balance/retry.rs
+++ b/crates/honeypulley_policy/src/balance/retry.rs
@@ -103,7 +103,7 @@
     announced: Option<Time>,
 }
 
-/// A peer's update of its requests and retries for a service.
+/// A peer's update about its requests and retries for a service.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RetryReport {
     pub(super) from: NameId,
@@ -173,7 +173,7 @@
         self.expire(rule, now);
     }
 
-    /// Records a peer's update of its requests and retries within the window.
+    /// Records a peer's update about its requests and retries within the window.
     ///
     /// Retries beyond those received one by one were lost in transit, for example in a
     /// partition, and count as well.
--- a/crates/honeypulley_policy/src/fleet_limits/buckets.rs
+++ b/crates/honeypulley_policy/src/fleet_limits/buckets.rs
@@ -233,7 +233,7 @@
         changed.into_iter().filter(is_due).collect()
     }
 
-    /// Queues an update of this data hall's admissions for the other halls.
+    /// Queues an update about this data hall's admissions for the other halls.
     ///
     /// `rank` is this box's rank among the hall's announcers. A box with a rank above zero is a
     /// backup, which stays silent while the first one announces.
--- a/crates/honeypulley_policy/src/fleet_limits/usage.rs
+++ b/crates/honeypulley_policy/src/fleet_limits/usage.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Fraction of its even share below which a data hall makes no updates.
+/// Fraction of its even share below which a data hall sends no updates.
 ///
 /// While all halls stay below it, the limit holds without any exchange. At the usual load of
 /// 5/8 of a limit, a hall may exceed its even share by a quarter before it announces.
--- a/crates/honeypulley_policy/tests/balance/open_attempts.rs
+++ b/crates/honeypulley_policy/tests/balance/open_attempts.rs
@@ -102,7 +102,7 @@
     assert!(next <= Duration::from_millis(10), "{next:?} after {early:?}");
 }
 
-/// Applies a peer's update of `count` requests at each upstream.
+/// Applies a peer's update about `count` requests at each upstream.
 fn announce_queue(b: &mut Balancer, upstreams: usize, count: u16, at: Time) {
     for i in 0..upstreams {
         let upstream = NameId::of(&format!("u{i}"));
