--- a/crates/honeypulley_mesh/src/pace.rs
+++ b/crates/honeypulley_mesh/src/pace.rs
@@ -27,21 +27,22 @@
 /// An update with the time at which it was queued.
 #[derive(Debug)]
 struct Pending {
-    news: Update,
+    update: Update,
     at: Time,
 }
 
 impl UpdateBatcher {
     /// Queues an update of an event at `now`.
-    pub fn add(&mut self, news: Update, now: Time) {
-        self.pending.push(Pending { news, at: now });
+    pub fn add(&mut self, update: Update, now: Time) {
+        self.pending.push(Pending { update, at: now });
     }
 
     /// Returns when the queued updates are due in a data hall of `boxes` other boxes.
     #[must_use]
     pub fn deadline(&self, boxes: usize) -> Option<Time> {
         let first = self.pending.first()?;
-        if self.pending.len() >= MAX_ITEMS || !self.pending.iter().all(|p| p.news.is_deferrable()) {
+        if self.pending.len() >= MAX_ITEMS || !self.pending.iter().all(|p| p.update.is_deferrable())
+        {
             return Some(first.at);
         }
         let delay = DELAY_PER_BOX.saturating_mul(boxes.try_into().unwrap_or(u32::MAX));
@@ -53,6 +54,6 @@
     /// Each update about a finished attempt gets the time since the attempt ended.
     pub fn drain(&mut self, now: Time) -> Vec<Update> {
         let count = self.pending.len().min(MAX_ITEMS);
-        self.pending.drain(..count).map(|p| p.news.aged(now.since(p.at))).collect()
+        self.pending.drain(..count).map(|p| p.update.with_age(now.since(p.at))).collect()
     }
 }
--- a/crates/honeypulley_mesh/src/serving.rs
+++ b/crates/honeypulley_mesh/src/serving.rs
@@ -54,8 +54,8 @@
     /// Queues pending updates for broadcast.
     fn announce(&mut self) {
         // Admissions come first, so that one is sent with the attempt that follows it.
-        let news = self.limits.take_updates().into_iter().chain(self.balancer.take_updates());
-        news.for_each(|n| self.mesh.updates_out.push(n));
+        let updates = self.limits.take_updates().into_iter().chain(self.balancer.take_updates());
+        updates.for_each(|n| self.mesh.updates_out.push(n));
     }
 
     /// Admits one request of an organisation, if its fleet-wide limit allows it.
@@ -75,8 +75,8 @@
     }
 
     /// Applies admissions that a peer or another data hall reported.
-    fn apply_limit_news(&mut self, from: NameId, news: Update, now: Time) {
-        match news {
+    fn apply_limit_update(&mut self, from: NameId, update: Update, now: Time) {
+        match update {
             Update::Admitted { subject, sum } => {
                 self.limits.apply_box_count(from, subject, sum, now);
             }
@@ -89,9 +89,9 @@
 
     /// Prepares the reports on limits that are due to the other data halls.
     fn prepare_limit_reports(&mut self, now: Time) {
-        for organisation in self.limits.due(now) {
+        for organisation in self.limits.due_updates(now) {
             if let Some(rank) = self.mesh.announcer_rank(organisation, now) {
-                self.limits.tell(organisation, rank, now);
+                self.limits.announce(organisation, rank, now);
             }
         }
     }
@@ -100,17 +100,17 @@
 impl RoutingPolicy for BroadcastBalancer {
     fn pick(
         &mut self,
-        ask: &RequestInfo,
+        info: &RequestInfo,
         tried: &[UpstreamKey],
         now: Time,
     ) -> Result<Pick, Refusal> {
-        let picked = self.balancer.pick(ask, tried, now);
+        let picked = self.balancer.pick(info, tried, now);
         self.announce();
         picked
     }
 
-    fn place(&self, k: UpstreamKey) -> Option<Endpoint<'_>> {
-        self.balancer.place(k)
+    fn endpoint(&self, k: UpstreamKey) -> Option<Endpoint<'_>> {
+        self.balancer.endpoint(k)
     }
 
     fn has_restarted(&self, k: UpstreamKey) -> bool {
@@ -121,34 +121,34 @@
         PickInputs { list: self.mesh.list_status(), ..self.balancer.inputs(k, now) }
     }
 
-    fn expected(&self, ask: &RequestInfo, now: Time) -> Option<Duration> {
-        self.balancer.expected(ask, now)
+    fn expected_latency(&self, info: &RequestInfo, now: Time) -> Option<Duration> {
+        self.balancer.expected_latency(info, now)
     }
 
-    fn recheck_delay(&self, ask: &RequestInfo, age: Duration) -> Duration {
-        self.balancer.recheck_delay(ask, age)
+    fn recheck_delay(&self, info: &RequestInfo, age: Duration) -> Duration {
+        self.balancer.recheck_delay(info, age)
     }
 
-    fn is_in_flight(&mut self, k: AttemptKey, now: Time) {
-        self.balancer.is_in_flight(k, now);
+    fn record_in_flight(&mut self, k: AttemptKey, now: Time) {
+        self.balancer.record_in_flight(k, now);
         self.announce();
     }
 
-    fn hedge(&self, ask: &RequestInfo, k: AttemptKey, now: Time) -> Option<f64> {
-        self.balancer.hedge(ask, k, now)
+    fn hedge_value(&self, info: &RequestInfo, k: AttemptKey, now: Time) -> Option<f64> {
+        self.balancer.hedge_value(info, k, now)
     }
 
-    fn can_meet_deadline(&self, ask: &RequestInfo) -> bool {
-        self.balancer.can_meet_deadline(ask)
+    fn can_meet_deadline(&self, info: &RequestInfo) -> bool {
+        self.balancer.can_meet_deadline(info)
     }
 
     fn check_available(
         &mut self,
-        ask: &RequestInfo,
+        info: &RequestInfo,
         tried: &[UpstreamKey],
         now: Time,
     ) -> Result<(), Refusal> {
-        self.balancer.check_available(ask, tried, now)
+        self.balancer.check_available(info, tried, now)
     }
 
     fn spend_retry(&mut self, k: ServiceKey, why: RetryReason, now: Time) -> bool {
@@ -161,17 +161,17 @@
         self.balancer.budget_use(k, now)
     }
 
-    fn answered(&mut self, k: AttemptKey, ok: bool, now: Time) {
-        self.balancer.answered(k, ok, now);
+    fn response_started(&mut self, k: AttemptKey, ok: bool, now: Time) {
+        self.balancer.response_started(k, ok, now);
         self.announce();
     }
 
-    fn sized(&mut self, k: AttemptKey, bytes: u64) {
-        self.balancer.sized(k, bytes);
+    fn record_size(&mut self, k: AttemptKey, bytes: u64) {
+        self.balancer.record_size(k, bytes);
     }
 
-    fn signalled(&mut self, k: AttemptKey, s: &Signals, now: Time) -> SignalChanges {
-        let changes = self.balancer.signalled(k, s, now);
+    fn record_signals(&mut self, k: AttemptKey, s: &Signals, now: Time) -> SignalChanges {
+        let changes = self.balancer.record_signals(k, s, now);
         self.announce();
         changes
     }
@@ -219,11 +219,11 @@
             return Err(not_ready(format!("service {name} is not set up on this box yet")));
         };
         self.mesh.update_fleet_scope(policy.balancer(), now);
-        policy.balancer().arrived(service, now);
+        policy.balancer().record_request(service, now);
         if let Some(o) = &organisation
             && let Err(wait) = policy.admit(o.id, now)
         {
-            let usage = policy.limits().usage_of(o.id, now);
+            let usage = policy.limits().usage(o.id, now);
             return Err(over_limit(wanted.request, o, wait, usage.unwrap_or_default()));
         }
         let owner = match (&table.organisations, organisation) {
@@ -238,8 +238,8 @@
                 repeatable: route.kind.is_repeatable(),
                 priority,
                 large_response: route.kind == RequestKind::Download,
-                aim: route.aim,
-                left: None,
+                target: route.target,
+                remaining: None,
                 route: NameId::of(&route.name),
             },
             service: name.to_owned(),
@@ -288,7 +288,7 @@
         let Some(all) = table.organisations.as_ref().filter(|_| !route.public) else {
             return Ok(None);
         };
-        if let Some(o) = wanted.key.and_then(|k| all.holder(k)) {
+        if let Some(o) = wanted.key.and_then(|k| all.find_by_key(k)) {
             return Ok(Some(o.clone()));
         }
         let in_touch = self.mesh.readers().in_touch(now);
@@ -310,8 +310,8 @@
 /// Refuses a request over its organisation's limit, with a time to retry after.
 fn over_limit(request: &str, o: &Organisation, wait: Duration, usage: LimitUsage) -> LocalAnswer {
     log::info!(
-        request, organisation = &*o.name, rate = usage.rate as f32, level = usage.level as f32,
-        hall = usage.hall, others = usage.others,
+        request, organisation = &*o.name, rate = usage.rate as f32, level = usage.tokens as f32,
+        hall = usage.hall, others = usage.other_halls,
         others_age_ms = usage.age.map(|d| d.as_millis() as u64),
         wait_ms = wait.as_millis() as u64;
         "route: refused, its organisation is over its limit"
@@ -346,12 +346,12 @@
             self.apply_updates();
             tokio::select! {
                 () = self.mesh.serve_wakeup.notified() => {}
-                (from, news) = self.mesh.updates_in.recv() => self.apply_news(from, news),
+                (from, update) = self.mesh.updates_in.recv() => self.apply_peer_updates(from, update),
                 requester = self.mesh.belief_requests.recv() => {
                     let now = self.mesh.now();
                     let mut policy = self.policy.lock();
                     let mut replies = policy.balancer().retry_sums(now);
-                    replies.extend(policy.balancer().beliefs(now));
+                    replies.extend(policy.balancer().belief_snapshot(now));
                     drop(policy);
                     self.mesh.belief_replies.push((requester, replies));
                 }
@@ -362,22 +362,22 @@
 
 impl BalancerUpdater {
     /// Applies a received update and all updates queued behind it.
-    fn apply_news(&self, from: NameId, first: Update) {
+    fn apply_peer_updates(&self, from: NameId, first: Update) {
         let mut policy = self.policy.lock();
         let now = self.mesh.now();
         policy.set_scope(now);
         let mut next = Some((from, first));
         let mut beliefs = 0;
-        while let Some((from, news)) = next {
-            beliefs += usize::from(matches!(news, Update::Belief { .. }));
-            policy.apply_limit_news(from, news, now);
-            if let Update::Leaving { upstream } = news
+        while let Some((from, update)) = next {
+            beliefs += usize::from(matches!(update, Update::Belief { .. }));
+            policy.apply_limit_update(from, update, now);
+            if let Update::Leaving { upstream } = update
                 && let Some(upstream) = policy.balancer().record_shutdown(upstream)
             {
                 log::info!(upstream, from = from.0; "news: {upstream} announced its shutdown");
             }
-            if let Some(doubt) = policy.balancer().heard(from, news, now) {
-                self.doubts.lock().log(from, &doubt, now);
+            if let Some(suspicion) = policy.balancer().apply_update(from, update, now) {
+                self.doubts.lock().log(from, &suspicion, now);
             }
             next = self.mesh.updates_in.pop();
         }
@@ -396,7 +396,7 @@
         if let Some(table) = self.mesh.take_next_table() {
             policy.balancer().set_services(&table.services, now);
             let limits = table.organisations.iter().flat_map(Organisations::limits);
-            policy.limits().set_limits(limits);
+            policy.limits().replace_limits(limits);
             log::info!(version = table.version; "table: version {} is in force", table.version);
             self.mesh.in_force.store(Some(table));
         }
--- a/crates/honeypulley_peer/tests/wire.rs
+++ b/crates/honeypulley_peer/tests/wire.rs
@@ -53,8 +53,8 @@
 fn body() -> impl Strategy<Value = Body> {
     let item = (any::<u64>(), any::<u16>(), any::<u16>()).prop_map(|(u, good, bad)| ReportItem {
         upstream: NameId(u),
-        good,
-        bad,
+        successes: good,
+        failures: bad,
     });
     let judgement =
         prop_oneof![Just(Judgement::Suspect), Just(Judgement::Probation), Just(Judgement::Clear)];
@@ -74,18 +74,18 @@
         |(id, what, a, b, kind)| {
             let upstream = NameId(id);
             match kind {
-                0 => Update::Seen { upstream, what },
+                0 => Update::Seen { upstream, observation: what },
                 1 => Update::Open { upstream, count: id as u16 },
                 7 => Update::Ended {
                     upstream,
                     count: id as u16,
                     served: id % 2 == 0,
-                    far: (id % 3 > 0).then_some(id as u8 / 2),
-                    ago: Duration::from_millis(id % 60_000),
+                    remote: (id % 3 > 0).then_some(id as u8 / 2),
+                    age: Duration::from_millis(id % 60_000),
                 },
-                2 => Update::Well { upstream },
+                2 => Update::Recovered { upstream },
                 3 => Update::Belief { upstream, phases: [a, b] },
-                4 => Update::Spent { service: upstream, sum: id as u16 },
+                4 => Update::RetrySum { service: upstream, sum: id as u16 },
                 10 => {
                     let rate = (id % 5 > 0).then_some(id as u16 as f32 / 8.0 + 0.125);
                     Update::Limit { upstream, rate }
@@ -96,14 +96,14 @@
                     let count = HallCount {
                         hall,
                         sum: id as u16,
-                        latest: (id >> 16) as u16,
-                        level: (id >> 32) as i16,
+                        recent: (id >> 16) as u16,
+                        tokens: (id >> 32) as i16,
                     };
                     Update::HallAdmitted { subject: upstream, count }
                 }
                 11 => Update::Leaving { upstream },
-                5 => Update::Denied { service: upstream, seen: id as u16, spent: id as u8 },
-                _ => Update::Retry { service: upstream, seen: id as u16, spent: id as u8 },
+                5 => Update::Denied { service: upstream, requests: id as u16, retries: id as u8 },
+                _ => Update::Retry { service: upstream, requests: id as u16, retries: id as u8 },
             }
         },
     );
@@ -113,15 +113,15 @@
             let (request, span) = (Fingerprint(request), Duration::from_millis(span.into()));
             let began = Duration::from_millis(began.into());
             match kind {
-                0 => RequestUpdate::Ended {
+                0 => RequestUpdate::Crashed {
                     request,
                     scope,
                     upstream: NameId(upstream),
-                    began,
-                    ended: span,
+                    since_sent: began,
+                    since_crash: span,
                 },
-                1 => RequestUpdate::Served { request, ago: span },
-                _ => RequestUpdate::Held { request, scope, left: span, trials },
+                1 => RequestUpdate::Served { request, age: span },
+                _ => RequestUpdate::Held { request, scope, remaining: span, trials },
             }
         },
     );
@@ -196,8 +196,9 @@
 
 #[test]
 fn long_reports_are_split_into_datagrams() {
-    let items: Vec<ReportItem> =
-        (0..200).map(|i| ReportItem { upstream: NameId(u64::MAX - i), good: 9, bad: 9 }).collect();
+    let items: Vec<ReportItem> = (0..200)
+        .map(|i| ReportItem { upstream: NameId(u64::MAX - i), successes: 9, failures: 9 })
+        .collect();
     let report = Report { service: NameId(1), reporter: NameId(2), items };
     let key = FleetKey::derive("a fleet key of tests");
     let sizes: Vec<usize> = report_bodies(&report)
@@ -219,12 +220,12 @@
 
 #[test]
 fn the_largest_request_update_fits_a_forwarded_datagram() {
-    let item = RequestUpdate::Ended {
+    let item = RequestUpdate::Crashed {
         request: Fingerprint(u64::MAX - 1),
         scope: Scope::Content,
         upstream: NameId(u64::MAX - 2),
-        began: Duration::from_millis(0x1234_5678),
-        ended: Duration::from_millis(0x1234_5678),
+        since_sent: Duration::from_millis(0x1234_5678),
+        since_crash: Duration::from_millis(0x1234_5678),
     };
     let key = FleetKey::derive("a fleet key of tests");
     let body = Body::Requests { seq: u32::MAX - 1, items: vec![item; MAX_REQUESTS] };
--- a/crates/honeypulley_policy/src/balance/doubt.rs
+++ b/crates/honeypulley_policy/src/balance/doubt.rs
@@ -38,16 +38,16 @@
 impl Balancer {
     /// Returns the probability that an upstream or the path to it is faulty.
     pub(super) fn fault_chance(&self, k: UpstreamKey, now: Time) -> f64 {
-        let path = self.upstreams[k].path.chance(now);
+        let path = self.upstreams[k].path.probability(now);
         1.0 - (1.0 - self.unhealthy_chance(k, now)) * (1.0 - path)
     }
 
     /// Returns the probability that an upstream is unhealthy, including evidence in flight.
     pub(super) fn unhealthy_chance(&self, k: UpstreamKey, now: Time) -> f64 {
         let u = &self.upstreams[k];
-        let chance = u.shared.chance(now);
+        let probability = u.shared.probability(now);
         let ratio = self.in_flight_ratio(u, now);
-        chance * ratio / (chance * ratio + 1.0 - chance)
+        probability * ratio / (probability * ratio + 1.0 - probability)
     }
 
     /// Returns whether an attempt has been in flight there for unusually long.
@@ -108,7 +108,7 @@
         let thresholds = [(OVERDUE_RATIO, Observation::Overdue), (HUNG_RATIO, Observation::Hung)];
         let due =
             |&&(threshold, _): &&(f64, Observation)| a.announced < threshold && ratio >= threshold;
-        thresholds.iter().filter(due).map(|&(_, what)| what).collect()
+        thresholds.iter().filter(due).map(|&(_, observation)| observation).collect()
     }
 
     /// Returns whether an unanswered attempt is older than nearly all answers.
@@ -121,10 +121,10 @@
     /// Returns the time until an attempt in flight has to be checked again.
     ///
     /// That is when it reaches the next evidence threshold or may be hedged.
-    pub(super) fn next_check(&self, ask: &RequestInfo, age: Duration) -> Duration {
-        let target = ask.aim.unwrap_or(DEFAULT_TARGET);
-        let thresholds = [OVERDUE_RATIO, HUNG_RATIO].map(|r| self.age_of_ratio(ask, r, target));
-        let ages = thresholds.into_iter().flatten().chain([self.hedge_delay(ask)]);
+    pub(super) fn next_check(&self, info: &RequestInfo, age: Duration) -> Duration {
+        let target = info.target.unwrap_or(DEFAULT_TARGET);
+        let thresholds = [OVERDUE_RATIO, HUNG_RATIO].map(|r| self.age_of_ratio(info, r, target));
+        let ages = thresholds.into_iter().flatten().chain([self.hedge_delay(info)]);
         let next = ages.filter(|&at| at > age).min();
         next.map_or_else(|| target.mul_f64(CHECK_INTERVAL), |at| (at - age).max(MIN_CHECK_INTERVAL))
     }
@@ -134,9 +134,9 @@
     /// It is the latest age at which the hedge is still likely to be answered within the
     /// latency target; earlier hedges spend retry budget on attempts that would have been
     /// answered.
-    pub(super) fn hedge_delay(&self, ask: &RequestInfo) -> Duration {
-        let target = ask.aim.unwrap_or(DEFAULT_TARGET);
-        let latency = self.latency_quantile(ask, HEDGE_QUANTILE).mul_f64(ROUND_TRIP_FACTOR);
+    pub(super) fn hedge_delay(&self, info: &RequestInfo) -> Duration {
+        let target = info.target.unwrap_or(DEFAULT_TARGET);
+        let latency = self.latency_quantile(info, HEDGE_QUANTILE).mul_f64(ROUND_TRIP_FACTOR);
         let (least, most) = (target.mul_f64(HEDGE_BOUNDS.0), target.mul_f64(HEDGE_BOUNDS.1));
         target.saturating_sub(latency).clamp(least, most)
     }
@@ -144,31 +144,31 @@
     /// Returns the probability that an attempt stays unanswered, once it may be hedged.
     pub(super) fn unanswered_chance(
         &self,
-        ask: &RequestInfo,
+        info: &RequestInfo,
         k: AttemptKey,
         now: Time,
     ) -> Option<f64> {
         let a = self.attempts.get(k).filter(|a| self.upstreams.contains_key(a.upstream))?;
-        let chance = self.fault_chance(a.upstream, now) * FAILS_SICK;
+        let probability = self.fault_chance(a.upstream, now) * FAILS_SICK;
         // The hedging delay may have changed slightly since this check was scheduled.
-        let due = now.since(a.started) + MIN_CHECK_INTERVAL >= self.hedge_delay(ask);
-        due.then_some(chance)
+        let due = now.since(a.started) + MIN_CHECK_INTERVAL >= self.hedge_delay(info);
+        due.then_some(probability)
     }
 
     /// Returns a quantile of the latency to expect for a request.
-    pub(super) fn latency_quantile(&self, ask: &RequestInfo, share: f64) -> Duration {
-        let target = ask.aim.unwrap_or(DEFAULT_TARGET);
-        let latencies = self.route_latencies.get(&ask.route).filter(|h| h.is_warm());
-        let latencies = latencies.or_else(|| self.services.get(ask.service).map(|s| &s.latencies));
+    pub(super) fn latency_quantile(&self, info: &RequestInfo, share: f64) -> Duration {
+        let target = info.target.unwrap_or(DEFAULT_TARGET);
+        let latencies = self.route_latencies.get(&info.route).filter(|h| h.is_warm());
+        let latencies = latencies.or_else(|| self.services.get(info.service).map(|s| &s.latencies));
         latencies.map_or(target, |h| h.quantile(share, latency_prior(target)))
     }
 
     /// Returns the age at which an attempt reaches a likelihood ratio.
-    fn age_of_ratio(&self, ask: &RequestInfo, ratio: f64, target: Duration) -> Option<Duration> {
-        let service = self.services.get(ask.service)?;
+    fn age_of_ratio(&self, info: &RequestInfo, ratio: f64, target: Duration) -> Option<Duration> {
+        let service = self.services.get(info.service)?;
         let latencies = self
             .route_latencies
-            .get(&ask.route)
+            .get(&info.route)
             .filter(|h| h.is_warm())
             .unwrap_or(&service.latencies);
         let ratio_at = |age: Duration| {
--- a/crates/honeypulley_policy/src/balance/named.rs
+++ b/crates/honeypulley_policy/src/balance/named.rs
@@ -10,7 +10,7 @@
 use super::{Balancer, RetryHistory, Service, Update, Upstream};
 use crate::chooser::RequestInfo;
 use crate::collector::NameId;
-use crate::fleet_limits::{FleetRateLimiter, LimitRule, RateLimit, Scope};
+use crate::fleet_limits::{FleetRateLimiter, LimitRule, LimitScope, RateLimit};
 use crate::placement::weight;
 use crate::router::{AttemptKey, UpstreamKey};
 use crate::time::Time;
@@ -47,9 +47,9 @@
     /// Requests per second that it accepts from all boxes.
     pub rate: f64,
     /// Share of the rate that this data hall may use.
-    pub part: f64,
+    pub share: f64,
     /// Tokens left at the last check, as far as this box knows.
-    pub left: Option<f64>,
+    pub remaining: Option<f64>,
 }
 
 /// A rate limit that an upstream advertised.
@@ -61,7 +61,7 @@
     /// When it was last broadcast.
     announced: Time,
     /// Share that this data hall may use.
-    part: f64,
+    share: f64,
 }
 
 impl LimitEntry {
@@ -87,8 +87,8 @@
 }
 
 impl RateLimits {
-    pub(super) fn new(hall: &str, past: RetryHistory, seed: u64) -> Self {
-        let buckets = FleetRateLimiter::new(hall, BUCKET_RULE, past, seed, Time::ZERO);
+    pub(super) fn new(hall: &str, history: RetryHistory, seed: u64) -> Self {
+        let buckets = FleetRateLimiter::new(hall, BUCKET_RULE, history, seed, Time::ZERO);
         Self { buckets, entries: BTreeMap::new() }
     }
 
@@ -111,9 +111,9 @@
     fn set(&mut self, id: NameId, rate: f64, now: Time) -> bool {
         self.remove_expired(now);
         let before = self.in_force(id, now).copied();
-        let part = before.map_or(1.0, |n| n.part);
+        let share = before.map_or(1.0, |n| n.share);
         let announced = before.map_or(now, |n| n.announced);
-        self.entries.insert(id, LimitEntry { rate, at: now, announced, part });
+        self.entries.insert(id, LimitEntry { rate, at: now, announced, share });
         self.update_bucket(id);
         // Compared at the precision of the broadcast value.
         before.is_none_or(|n| n.rate as f32 != rate as f32)
@@ -127,10 +127,10 @@
         }
     }
 
-    fn set_part(&mut self, id: NameId, part: f64) {
+    fn set_share(&mut self, id: NameId, share: f64) {
         let Some(n) = self.entries.get_mut(&id) else { return };
-        if n.part != part {
-            n.part = part;
+        if n.share != share {
+            n.share = share;
             self.update_bucket(id);
         }
     }
@@ -138,7 +138,7 @@
     fn update_bucket(&mut self, id: NameId) {
         let Some(n) = self.entries.get(&id) else { return };
         let rate = n.rate.max(MIN_RATE);
-        let limit = RateLimit { rate: rate * n.part, burst: (rate + BURST) * n.part };
+        let limit = RateLimit { rate: rate * n.share, burst: (rate + BURST) * n.share };
         self.buckets.set_limit(id, Some(limit));
     }
 }
@@ -161,7 +161,7 @@
         let is_lifted = self.limits.entries.get(&id).is_some_and(|n| started > n.at);
         if is_lifted {
             self.limits.discard(id);
-            self.news.push(Update::Limit { upstream: id, rate: None });
+            self.updates.push(Update::Limit { upstream: id, rate: None });
         }
         is_lifted
     }
@@ -176,7 +176,7 @@
         let Some(n) = self.limits.entries.get_mut(&id) else { return };
         if is_changed || now.since(n.announced) >= RENEW_INTERVAL {
             n.announced = now;
-            self.news.push(Update::Limit { upstream: id, rate: Some(n.rate as f32) });
+            self.updates.push(Update::Limit { upstream: id, rate: Some(n.rate as f32) });
         }
     }
 
@@ -207,20 +207,20 @@
     pub(super) fn filter_limited(
         &mut self,
         open: Vec<UpstreamKey>,
-        ask: &RequestInfo,
+        info: &RequestInfo,
         now: Time,
     ) -> (Vec<UpstreamKey>, Option<Duration>) {
         if self.limits.entries.is_empty() || open.is_empty() {
             return (open, None);
         }
-        let Some(s) = self.services.get(ask.service) else { return (open, None) };
+        let Some(s) = self.services.get(info.service) else { return (open, None) };
         let division = self.division(s, now);
         let boxes = self.hall_boxes;
-        self.limits.buckets.set_scope(Scope { boxes, halls: 1, alone: self.isolated });
+        self.limits.buckets.set_scope(LimitScope { boxes, halls: 1, isolated: self.isolated });
         let mut allowed = Vec::with_capacity(open.len());
         let mut wait: Option<Duration> = None;
         for k in open {
-            match self.check_limit(k, ask, division, now) {
+            match self.check_limit(k, info, division, now) {
                 Ok(()) => allowed.push(k),
                 Err(w) => wait = Some(wait.map_or(w, |least| least.min(w))),
             }
@@ -232,22 +232,22 @@
     fn check_limit(
         &mut self,
         k: UpstreamKey,
-        ask: &RequestInfo,
+        info: &RequestInfo,
         division: Division,
         now: Time,
     ) -> Result<(), Duration> {
         let u = &self.upstreams[k];
         let id = u.id;
         let Some(&n) = self.limits.in_force(id, now) else { return Ok(()) };
-        let part = self.hall_share(u, n.rate, division);
+        let share = self.hall_share(u, n.rate, division);
         let offset = self.random_offset(u);
-        self.limits.set_part(id, part);
-        if part == 0.0 {
+        self.limits.set_share(id, share);
+        if share == 0.0 {
             return Err(Duration::from_secs_f64(1.0 / n.rate.max(MIN_RATE)));
         }
-        let is_deferrable = division == Division::Halls && (ask.repeatable || ask.priority > 0);
+        let is_deferrable = division == Division::Halls && (info.repeatable || info.priority > 0);
         let reserve = if is_deferrable { URGENT_RESERVE } else { 0.0 };
-        self.limits.buckets.room(id, 1.0 + offset * OFFSET_TOKENS + reserve, now)
+        self.limits.buckets.check(id, 1.0 + offset * OFFSET_TOKENS + reserve, now)
     }
 
     /// Returns this box's random offset (0 to 1) at an upstream.
@@ -299,8 +299,8 @@
     pub(super) fn count_send(&mut self, k: UpstreamKey, now: Time) {
         let Some(id) = self.upstreams.get(k).map(|u| u.id) else { return };
         if self.limits.in_force(id, now).is_some() {
-            self.limits.buckets.take(id, now);
-            self.news.extend(self.limits.buckets.take_updates());
+            self.limits.buckets.consume(id, now);
+            self.updates.extend(self.limits.buckets.take_updates());
         }
     }
 
@@ -309,7 +309,7 @@
     pub fn advertised_limit(&self, k: UpstreamKey, now: Time) -> Option<AdvertisedLimit> {
         let id = self.upstreams.get(k)?.id;
         let n = self.limits.in_force(id, now)?;
-        let left = self.limits.buckets.level(id);
-        Some(AdvertisedLimit { rate: n.rate, part: n.part, left })
+        let remaining = self.limits.buckets.level(id);
+        Some(AdvertisedLimit { rate: n.rate, share: n.share, remaining })
     }
 }
--- a/crates/honeypulley_policy/src/balance/news.rs
+++ b/crates/honeypulley_policy/src/balance/news.rs
@@ -5,7 +5,7 @@
 use crate::fleet_limits::HallCount;
 use std::time::Duration;
 
-/// An announcement of one box to its peers.
+/// An update of one box to its peers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Update {
     /// An upstream was observed.
@@ -13,7 +13,7 @@
         /// The upstream.
         upstream: NameId,
         /// The observation.
-        what: Observation,
+        observation: Observation,
     },
     /// An attempt started; sent within the sender's data hall.
     Open {
@@ -31,12 +31,12 @@
         /// Whether it was answered successfully.
         served: bool,
         /// Requests of other data halls there, by the load report in its answer.
-        far: Option<u8>,
-        /// Time since it ended, by which the announcement was delayed.
-        ago: Duration,
+        remote: Option<u8>,
+        /// Time since it ended, by which the update was delayed.
+        age: Duration,
     },
     /// An upstream of the sender's data hall has recovered.
-    Well {
+    Recovered {
         /// The upstream.
         upstream: NameId,
     },
@@ -64,14 +64,14 @@
         /// Its service.
         service: NameId,
         /// Requests that the sender received within the budget's window.
-        seen: u16,
+        requests: u16,
         /// Retries that the sender made within that window; a lower bound.
-        spent: u8,
+        retries: u8,
     },
     /// Retries of all boxes within the window, for a newly started box.
     ///
     /// The sender was up for the whole window.
-    Spent {
+    RetrySum {
         /// Their service.
         service: NameId,
         /// Number of retries.
@@ -82,9 +82,9 @@
         /// Its service.
         service: NameId,
         /// Requests that the sender received within the budget's window.
-        seen: u16,
+        requests: u16,
         /// Retries that the sender made within that window; a lower bound.
-        spent: u8,
+        retries: u8,
     },
     /// The sender admitted a rate-limited request; sent within its data hall.
     Admitted {
@@ -109,7 +109,7 @@
         matches!(self, Self::Open { .. } | Self::Ended { .. } | Self::Admitted { .. })
     }
 
-    /// Returns whether it may be delayed and batched with later announcements.
+    /// Returns whether it may be delayed and batched with later updates.
     ///
     /// The end of an attempt is not urgent; an admission is soon followed by its attempt.
     #[must_use]
@@ -117,14 +117,14 @@
         matches!(self, Self::Ended { .. } | Self::Admitted { .. })
     }
 
-    /// Returns the announcement with its delay since it was created.
+    /// Returns the update with its delay since it was created.
     #[must_use]
-    pub const fn aged(self, waited: Duration) -> Self {
+    pub const fn with_age(self, age: Duration) -> Self {
         match self {
-            Self::Ended { upstream, count, served, far, .. } => {
-                Self::Ended { upstream, count, served, far, ago: waited }
+            Self::Ended { upstream, count, served, remote, .. } => {
+                Self::Ended { upstream, count, served, remote, age }
             }
-            news => news,
+            other => other,
         }
     }
 }
--- a/crates/honeypulley_policy/tests/balance/lives.rs
+++ b/crates/honeypulley_policy/tests/balance/lives.rs
@@ -1,6 +1,6 @@
 //! Restarts of upstreams: state of the previous incarnation is dropped.
 
-use crate::{ask, balancer, failure, listed, report_load, send};
+use crate::{balancer, failure, info, listed, report_load, send};
 use honeypulley_policy::balance::{Balancer, Update, UpstreamEntry};
 use honeypulley_policy::belief::Observation;
 use honeypulley_policy::chooser::RoutingPolicy;
@@ -12,7 +12,7 @@
 
 /// Returns an upstream whose process started at `born` ms.
 fn incarnation(name: &str, born: u64) -> UpstreamEntry {
-    UpstreamEntry { born: Some(born), ..listed(name, "h", MemberState::Live) }
+    UpstreamEntry { started: Some(born), ..listed(name, "h", MemberState::Live) }
 }
 
 /// Returns a box with `u0` and `u1`, both in their first incarnation.
@@ -29,13 +29,13 @@
 
 /// Sends requests until one goes to `u0`, and returns that one.
 fn pick_u0(b: &mut Balancer, now: Time) -> Pick {
-    let ask = ask(b, true);
+    let info = info(b, true);
     loop {
-        let pick = b.pick(&ask, &[], now).expect("two upstreams are available");
-        if b.place(pick.upstream).expect("upstream is known").name == "u0" {
+        let pick = b.pick(&info, &[], now).expect("two upstreams are available");
+        if b.endpoint(pick.upstream).expect("upstream is known").name == "u0" {
             return pick;
         }
-        b.finish(pick.attempt, Outcome::Whole, now);
+        b.finish(pick.attempt, Outcome::Completed, now);
     }
 }
 
@@ -48,10 +48,12 @@
 #[test]
 fn a_new_incarnation_is_not_suspect_for_the_previous_one() {
     let mut b = two_upstreams();
-    let seen =
-        Update::Seen { upstream: incarnation("u0", 1_000).life(), what: Observation::Failure };
+    let seen = Update::Seen {
+        upstream: incarnation("u0", 1_000).incarnation(),
+        observation: Observation::Failure,
+    };
     for i in 0..3 {
-        b.heard(NameId::of("peer"), seen, at(i * 100));
+        b.apply_update(NameId::of("peer"), seen, at(i * 100));
     }
     assert!(share_of_u0(&mut b, 400) < 0.1, "the previous incarnation is suspect");
     b.set_upstream(incarnation("u0", 2_000), at(1_100));
@@ -63,10 +65,10 @@
 #[case::clock_set_back(500)]
 #[case::far_ahead(4_102_444_800_000)]
 fn attempts_of_peers_end_with_the_incarnation(#[case] born: u64) {
-    let open = Update::Open { upstream: incarnation("u0", 1_000).life(), count: 9 };
+    let open = Update::Open { upstream: incarnation("u0", 1_000).incarnation(), count: 9 };
     let [mut same, mut restarted] = [two_upstreams(), two_upstreams()];
-    same.heard(NameId::of("peer"), open, Time::ZERO);
-    restarted.heard(NameId::of("peer"), open, Time::ZERO);
+    same.apply_update(NameId::of("peer"), open, Time::ZERO);
+    restarted.apply_update(NameId::of("peer"), open, Time::ZERO);
     restarted.set_upstream(incarnation("u0", born), at(1));
     assert!(share_of_u0(&mut same, 2) < 0.1, "nine attempts are in flight there");
     assert!(share_of_u0(&mut restarted, 2) > 0.3, "no attempt is in flight there");
@@ -77,7 +79,7 @@
     let mut b = two_upstreams();
     let pick = pick_u0(&mut b, Time::ZERO);
     report_load(&mut b, &pick, 40.0, Time::ZERO);
-    b.finish(pick.attempt, Outcome::Whole, Time::ZERO);
+    b.finish(pick.attempt, Outcome::Completed, Time::ZERO);
     b.set_upstream(incarnation("u0", 2_000), at(1));
     assert!(share_of_u0(&mut b, 2) > 0.3);
 }
@@ -86,12 +88,14 @@
 fn late_announcements_of_the_previous_incarnation_are_ignored() {
     let mut b = two_upstreams();
     b.set_upstream(incarnation("u0", 2_000), at(100));
-    let seen =
-        Update::Seen { upstream: incarnation("u0", 1_000).life(), what: Observation::Failure };
+    let seen = Update::Seen {
+        upstream: incarnation("u0", 1_000).incarnation(),
+        observation: Observation::Failure,
+    };
     for i in 0..3 {
-        b.heard(NameId::of("peer"), seen, at(101 + i));
+        b.apply_update(NameId::of("peer"), seen, at(101 + i));
     }
-    b.heard(NameId::of("peer"), failure("u0"), at(110));
+    b.apply_update(NameId::of("peer"), failure("u0"), at(110));
     assert!(share_of_u0(&mut b, 111) > 0.3);
 }
 
@@ -125,10 +129,12 @@
 #[test]
 fn relisting_the_same_incarnation_keeps_its_state() {
     let mut b = two_upstreams();
-    let seen =
-        Update::Seen { upstream: incarnation("u0", 1_000).life(), what: Observation::Failure };
+    let seen = Update::Seen {
+        upstream: incarnation("u0", 1_000).incarnation(),
+        observation: Observation::Failure,
+    };
     for i in 0..3 {
-        b.heard(NameId::of("peer"), seen, at(i * 100));
+        b.apply_update(NameId::of("peer"), seen, at(i * 100));
     }
     b.set_upstream(incarnation("u0", 1_000), at(350));
     assert!(share_of_u0(&mut b, 400) < 0.1);
--- a/crates/honeypulley_policy/tests/balance/named.rs
+++ b/crates/honeypulley_policy/tests/balance/named.rs
@@ -1,6 +1,6 @@
 //! Rate limits that upstreams advertise.
 
-use super::{RULE, advertise, ask, balancer, listed};
+use super::{RULE, advertise, balancer, info, listed};
 use honeypulley_policy::balance::{Balancer, FleetScope, RetryHistory, Update, UpstreamEntry};
 use honeypulley_policy::chooser::{RequestInfo, RoutingPolicy};
 use honeypulley_policy::collector::NameId;
@@ -16,28 +16,28 @@
 }
 
 fn upstream_name(b: &Balancer, p: &Pick) -> String {
-    b.place(p.upstream).expect("upstream is known").name.to_owned()
+    b.endpoint(p.upstream).expect("upstream is known").name.to_owned()
 }
 
 /// Sends a request whose answer advertises a limit or none; returns its upstream.
 ///
 /// Only the upstreams in `advertisers` advertise, or all if it is empty.
 fn send_one(b: &mut Balancer, advertisers: &[&str], limit: Option<f64>, ms: u64) -> Option<String> {
-    let ask = ask(b, false);
-    let p = b.pick(&ask, &[], at(ms)).ok()?;
+    let info = info(b, false);
+    let p = b.pick(&info, &[], at(ms)).ok()?;
     let name = upstream_name(b, &p);
-    b.answered(p.attempt, true, at(ms + 1));
+    b.response_started(p.attempt, true, at(ms + 1));
     if advertisers.is_empty() || advertisers.contains(&name.as_str()) {
         advertise(b, &p, limit, at(ms + 1));
     }
-    b.finish(p.attempt, Outcome::Whole, at(ms + 1));
+    b.finish(p.attempt, Outcome::Completed, at(ms + 1));
     Some(name)
 }
 
-/// Applies a peer's announcement of a rate limit of `u0`.
+/// Applies a peer's update about a rate limit of `u0`.
 fn announce_limit(b: &mut Balancer, rate: Option<f32>, ms: u64) {
-    let news = Update::Limit { upstream: NameId::of("u0"), rate };
-    b.heard(NameId(9), news, at(ms));
+    let update = Update::Limit { upstream: NameId::of("u0"), rate };
+    b.apply_update(NameId(9), update, at(ms));
 }
 
 /// Sends requests, 20 ms apart, and counts those that `u0` gets.
@@ -54,7 +54,7 @@
     assert!((30..=45).contains(&got), "{got} requests in 20 s with a limit of 2/s");
 }
 
-/// Sends of other boxes of the data hall count despite lost announcements.
+/// Sends of other boxes of the data hall count despite lost updates.
 #[test]
 fn sends_of_the_data_hall_count_by_their_sums() {
     let mut b = balancer(3);
@@ -65,8 +65,8 @@
         let ms = u64::from(s) * 1_000;
         // Every other datagram of the peer is lost.
         if s % 2 == 1 {
-            let news = Update::Admitted { subject: NameId::of("u0"), sum: s };
-            b.heard(NameId(9), news, at(ms));
+            let update = Update::Admitted { subject: NameId::of("u0"), sum: s };
+            b.apply_update(NameId(9), update, at(ms));
         }
         got += count_u0(&mut b, ms, ms + 1_000, Some(1.0));
     }
@@ -81,13 +81,13 @@
     let mut b = balancer(1);
     send_one(&mut b, &[], Some(5.0), 0);
     let limit = Update::Limit { upstream: NameId::of("u0"), rate: Some(5.0) };
-    let news = b.take_updates();
-    assert!(news.contains(&limit) && !limit.is_for_hall(), "{news:?}");
+    let updates = b.take_updates();
+    assert!(updates.contains(&limit) && !limit.is_for_hall(), "{updates:?}");
     send_one(&mut b, &[], Some(5.0), 300);
-    let news = b.take_updates();
-    assert!(!news.contains(&limit), "an unchanged limit is not announced again at once");
+    let updates = b.take_updates();
+    assert!(!updates.contains(&limit), "an unchanged limit is not announced again at once");
     let is_sent = |n: &Update| matches!(n, Update::Admitted { .. }) && n.is_for_hall();
-    assert_eq!(news.iter().filter(|n| is_sent(n)).count(), 1, "{news:?}");
+    assert_eq!(updates.iter().filter(|n| is_sent(n)).count(), 1, "{updates:?}");
     send_one(&mut b, &[], Some(5.0), 2_500);
     assert!(
         b.take_updates().contains(&limit),
@@ -99,20 +99,20 @@
 #[test]
 fn retries_take_tokens() {
     let mut b = balancer(2);
-    let ask = ask(&b, true);
+    let info = info(&b, true);
     for u in ["u0", "u1"] {
-        let news = Update::Limit { upstream: NameId::of(u), rate: Some(0.1) };
-        b.heard(NameId(9), news, at(0));
+        let update = Update::Limit { upstream: NameId::of(u), rate: Some(0.1) };
+        b.apply_update(NameId(9), update, at(0));
     }
     let mut sent = 0;
     for ms in (0..4_000).step_by(10) {
-        let Ok(first) = b.pick(&ask, &[], at(ms)) else { continue };
+        let Ok(first) = b.pick(&info, &[], at(ms)) else { continue };
         sent += 1;
-        if let Ok(second) = b.pick(&ask, &[first.upstream], at(ms)) {
+        if let Ok(second) = b.pick(&info, &[first.upstream], at(ms)) {
             sent += 1;
-            b.finish(second.attempt, Outcome::Whole, at(ms));
+            b.finish(second.attempt, Outcome::Completed, at(ms));
         }
-        b.finish(first.attempt, Outcome::Whole, at(ms));
+        b.finish(first.attempt, Outcome::Completed, at(ms));
     }
     assert!(
         sent <= 2 * (2 + 1),
@@ -137,8 +137,8 @@
 #[test]
 fn an_attempt_older_than_the_limit_lifts_nothing() {
     let mut b = balancer(1);
-    let ask = ask(&b, false);
-    let early = b.pick(&ask, &[], at(0)).expect("an upstream is available");
+    let info = info(&b, false);
+    let early = b.pick(&info, &[], at(0)).expect("an upstream is available");
     announce_limit(&mut b, Some(1.0), 10);
     assert!(!advertise(&mut b, &early, None, at(20)), "the attempt is older than the limit");
     let limit = b.advertised_limit(early.upstream, at(20)).expect("the limit still applies");
@@ -163,7 +163,7 @@
     let mut b = balancer(2);
     announce_limit(&mut b, Some(0.1), 0);
     count_u0(&mut b, 0, 3_000, Some(0.1));
-    let restarted = UpstreamEntry { born: Some(77), ..listed("u0", "h", MemberState::Live) };
+    let restarted = UpstreamEntry { started: Some(77), ..listed("u0", "h", MemberState::Live) };
     b.set_upstream(restarted, at(3_000));
     assert!(count_u0(&mut b, 3_000, 5_000, None) > 25, "half of the requests");
 }
@@ -172,8 +172,8 @@
 fn a_limit_without_renewal_expires() {
     let mut b = balancer(1);
     announce_limit(&mut b, Some(1.0), 0);
-    let ask = ask(&b, false);
-    let p = b.pick(&ask, &[], at(100)).expect("the limit is not exhausted");
+    let info = info(&b, false);
+    let p = b.pick(&info, &[], at(100)).expect("the limit is not exhausted");
     assert!(b.advertised_limit(p.upstream, at(29_000)).is_some());
     assert!(b.advertised_limit(p.upstream, at(31_000)).is_none());
 }
@@ -183,9 +183,9 @@
     let mut b = balancer(2);
     announce_limit(&mut b, Some(2.5), 0);
     let limit = Update::Limit { upstream: NameId::of("u0"), rate: Some(2.5) };
-    assert!(b.beliefs(at(1_000)).contains(&limit));
+    assert!(b.belief_snapshot(at(1_000)).contains(&limit));
     announce_limit(&mut b, None, 2_000);
-    assert!(!b.beliefs(at(3_000)).contains(&limit));
+    assert!(!b.belief_snapshot(at(3_000)).contains(&limit));
 }
 
 #[test]
@@ -196,7 +196,7 @@
     let status = b.status(at(10_000));
     assert!(status.iter().all(|s| s.sick < 0.1), "{status:?}");
     let limit = status.iter().find(|s| s.upstream == "u0").and_then(|s| s.limit);
-    assert!(limit.is_some_and(|l| (l.rate - 0.5).abs() < 1e-9 && l.part == 1.0), "{status:?}");
+    assert!(limit.is_some_and(|l| (l.rate - 0.5).abs() < 1e-9 && l.share == 1.0), "{status:?}");
 }
 
 /// Returns a box of a fleet with two data halls of one upstream each.
@@ -225,8 +225,8 @@
     for (hall, part) in [("h", 0.75), ("g", 0.25)] {
         let mut b = two_halls(hall);
         for u in ["u0", "u1"] {
-            let news = Update::Limit { upstream: NameId::of(u), rate: Some(8.0) };
-            b.heard(NameId(9), news, at(0));
+            let update = Update::Limit { upstream: NameId::of(u), rate: Some(8.0) };
+            b.apply_update(NameId(9), update, at(0));
         }
         let got = count_u0(&mut b, 0, 20_000, Some(8.0)) as f64;
         let most = part * 8.0_f64.mul_add(20.0, 10.5);
@@ -244,18 +244,18 @@
 fn unsafe_requests_go_first_and_others_get_a_retry_after() {
     let mut b = balancer(1);
     announce_limit(&mut b, Some(4.0), 0);
-    let (order, read) = (ask(&b, false), ask(&b, true));
+    let (order, read) = (info(&b, false), info(&b, true));
     let mut served = [0; 2];
     for ms in (0..20_000).step_by(50) {
-        for (i, ask) in [read, order].into_iter().enumerate() {
-            match b.pick(&ask, &[], at(ms)) {
+        for (i, info) in [read, order].into_iter().enumerate() {
+            match b.pick(&info, &[], at(ms)) {
                 Ok(p) => {
                     served[i] += 1;
                     advertise(&mut b, &p, Some(4.0), at(ms + 1));
-                    b.finish(p.attempt, Outcome::Whole, at(ms + 1));
+                    b.finish(p.attempt, Outcome::Completed, at(ms + 1));
                 }
                 Err(r) => {
-                    assert_eq!(r.kind, RefusalKind::Limited);
+                    assert_eq!(r.kind, RefusalKind::LimitsExhausted);
                     let wait = r.retry_after;
                     assert!(wait >= Duration::from_millis(100) && wait <= Duration::from_secs(3));
                 }
@@ -295,15 +295,15 @@
 fn urgent_requests_take_precedence() {
     let mut b = balancer(1);
     announce_limit(&mut b, Some(4.0), 0);
-    let usual = ask(&b, false);
+    let usual = info(&b, false);
     let low = RequestInfo { priority: 2, ..usual };
     let mut served = [0; 2];
     for ms in (0..20_000).step_by(50) {
-        for (i, ask) in [low, usual].into_iter().enumerate() {
-            if let Ok(p) = b.pick(&ask, &[], at(ms)) {
+        for (i, info) in [low, usual].into_iter().enumerate() {
+            if let Ok(p) = b.pick(&info, &[], at(ms)) {
                 served[i] += 1;
                 advertise(&mut b, &p, Some(4.0), at(ms + 1));
-                b.finish(p.attempt, Outcome::Whole, at(ms + 1));
+                b.finish(p.attempt, Outcome::Completed, at(ms + 1));
             }
         }
     }
@@ -320,8 +320,8 @@
     count_u0(&mut b, 0, 3_000, Some(1.0));
     b.remove_upstream("u0");
     b.set_upstream(listed("u0", "h", MemberState::Live), at(3_100));
-    let ask = ask(&b, false);
-    let picks: Vec<Pick> = (0..20).filter_map(|_| b.pick(&ask, &[], at(3_110)).ok()).collect();
+    let info = info(&b, false);
+    let picks: Vec<Pick> = (0..20).filter_map(|_| b.pick(&info, &[], at(3_110)).ok()).collect();
     let got = picks.iter().filter(|p| upstream_name(&b, p) == "u0").count();
     assert!(got <= 3, "{got} requests at once before any answer, with a limit of 1/s");
 }
--- a/crates/honeypulley_policy/tests/floor.rs
+++ b/crates/honeypulley_policy/tests/floor.rs
@@ -1,6 +1,6 @@
 //! Tests that healthy upstreams receive requests while most of their service hangs.
 //!
-//! The boxes of one simulated data hall exchange their news without delay. The simulation uses no
+//! The boxes of one simulated data hall exchange their updates without delay. The simulation uses no
 //! sockets and no clock, so it gives the same result in each run.
 
 use honeypulley_policy::balance::{Balancer, FleetScope, RetryRule, UpstreamEntry};
@@ -74,23 +74,23 @@
         let at = Time::from_millis(now);
         let b = &mut self.boxes[from];
         let service = b.service("s").expect("service is configured");
-        b.arrived(service, at);
-        let ask = RequestInfo {
+        b.record_request(service, at);
+        let info = RequestInfo {
             service,
             repeatable,
             priority: 0,
             large_response: false,
-            aim: Some(Duration::from_millis(800)),
-            left: Some(Duration::from_millis(TIMEOUT_MS)),
+            target: Some(Duration::from_millis(800)),
+            remaining: Some(Duration::from_millis(TIMEOUT_MS)),
             route: NameId::of("r"),
         };
-        let Ok(pick) = b.pick(&ask, &[], at) else { return };
-        let upstream = b.place(pick.upstream).expect("upstream is known").name.to_owned();
+        let Ok(pick) = b.pick(&info, &[], at) else { return };
+        let upstream = b.endpoint(pick.upstream).expect("upstream is known").name.to_owned();
         let hangs = now >= self.hang_start && self.hanging.contains(&upstream);
         let (took, outcome) = match (from < self.disconnected, hangs) {
             (true, _) => (CONNECT_MS, Outcome::Unreachable),
-            (false, true) => (TIMEOUT_MS, Outcome::Abandoned),
-            (false, false) => (WORK_MS, Outcome::Whole),
+            (false, true) => (TIMEOUT_MS, Outcome::Cancelled),
+            (false, false) => (WORK_MS, Outcome::Completed),
         };
         if outcome != Outcome::Unreachable {
             self.sent.entry(upstream).or_default().push(now);
@@ -98,27 +98,27 @@
         self.pending.push(PendingAttempt { from, key: pick.attempt, ends: now + took, outcome });
     }
 
-    /// Ends attempts that are due, checks the pending ones and delivers all news.
+    /// Ends attempts that are due, checks the pending ones and delivers all updates.
     fn step(&mut self, now: u64) {
         let at = Time::from_millis(now);
         for w in &self.pending {
             let b = &mut self.boxes[w.from];
             if now < w.ends {
-                b.is_in_flight(w.key, at);
+                b.record_in_flight(w.key, at);
                 continue;
             }
-            if w.outcome == Outcome::Whole {
-                b.answered(w.key, true, at);
+            if w.outcome == Outcome::Completed {
+                b.response_started(w.key, true, at);
             }
             b.finish(w.key, w.outcome, at);
         }
         self.pending.retain(|w| now < w.ends);
         for from in 0..self.boxes.len() {
-            let news = self.boxes[from].take_updates();
+            let updates = self.boxes[from].take_updates();
             let sender = NameId::of(&from.to_string());
             for (to, b) in self.boxes.iter_mut().enumerate() {
                 if to != from {
-                    news.iter().for_each(|&n| drop(b.heard(sender, n, at)));
+                    updates.iter().for_each(|&n| drop(b.apply_update(sender, n, at)));
                 }
             }
         }
@@ -150,7 +150,7 @@
             state: MemberState::Live,
         };
         b.set_upstream(
-            UpstreamEntry { member, slots: 2, cold: Duration::ZERO, born: None },
+            UpstreamEntry { member, slots: 2, warm_up: Duration::ZERO, started: None },
             Time::ZERO,
         );
     }
--- a/crates/honeypulley_policy/tests/load/hall.rs
+++ b/crates/honeypulley_policy/tests/load/hall.rs
@@ -1,7 +1,7 @@
 //! Discrete-event simulation of the boxes, upstreams and clients of one data hall.
 //!
 //! The simulation uses no sockets and no clock, so a seed always gives the same result. News of one
-//! box reach the others after [`NEWS_DELAY_MS`], as by datagram.
+//! box reach the others after [`UPDATE_DELAY_MS`], as by datagram.
 
 use crate::plan::{Plan, Policy};
 use crate::worker::Worker;
@@ -20,9 +20,9 @@
 
 /// Step of the simulated time, in ms.
 const STEP_MS: u64 = 5;
-/// Delay of news between boxes, in ms: network and scheduling on a busy box.
-const NEWS_DELAY_MS: u64 = 15;
-/// Time per box for which news of finished attempts is batched, in ms.
+/// Delay of updates between boxes, in ms: network and scheduling on a busy box.
+const UPDATE_DELAY_MS: u64 = 15;
+/// Time per box for which updates about finished attempts is batched, in ms.
 ///
 /// Boxes limit the total to [`MAX_BATCH_MS`].
 const BATCH_PER_BOX_MS: f64 = 2.5;
@@ -132,8 +132,8 @@
     by_name: BTreeMap<String, usize>,
     /// Upstream keys of each box, valid once it has sent a request there.
     keys: Vec<Vec<UpstreamKey>>,
-    news: VecDeque<(u64, usize, Vec<Update>)>,
-    /// Batched news of each box and the times at which they arose.
+    updates: VecDeque<(u64, usize, Vec<Update>)>,
+    /// Batched updates of each box and the times at which they arose.
     batched: Vec<Vec<(u64, Update)>>,
     requests: Vec<Request>,
     /// Start time of each request and whether it was served.
@@ -175,7 +175,7 @@
             boxes: (0..plan.boxes).map(|i| new_box(&plan, i as u64)).collect(),
             by_name: (0..plan.upstreams).map(|i| (name(i), i)).collect(),
             keys: vec![vec![UpstreamKey::default(); plan.upstreams]; plan.boxes],
-            news: VecDeque::new(),
+            updates: VecDeque::new(),
             batched: vec![Vec::new(); plan.boxes],
             requests: Vec::new(),
             outcomes: Vec::new(),
@@ -197,7 +197,7 @@
         let mut r = Request { from, began: now, repeatable, tried: Vec::new(), open: None };
         self.count(&r, |c| c.sent += 1);
         let service = self.boxes[from].service("s").expect("service is configured");
-        self.boxes[from].arrived(service, Time::from_millis(now));
+        self.boxes[from].record_request(service, Time::from_millis(now));
         if self.send(&mut r, now) {
             self.requests.push(r);
         } else {
@@ -211,14 +211,14 @@
         if self.plan.fails_after_ms > 0 { self.plan.fails_after_ms } else { TIMEOUT_MS }
     }
 
-    fn ask(&self, r: &Request, now: u64) -> RequestInfo {
+    fn info(&self, r: &Request, now: u64) -> RequestInfo {
         RequestInfo {
             service: self.boxes[r.from].service("s").expect("service is configured"),
             repeatable: r.repeatable,
             priority: 0,
             large_response: false,
-            aim: Some(Duration::from_millis(TARGET_MS)),
-            left: Some(Duration::from_millis((r.began + self.limit()).saturating_sub(now))),
+            target: Some(Duration::from_millis(TARGET_MS)),
+            remaining: Some(Duration::from_millis((r.began + self.limit()).saturating_sub(now))),
             route: NameId(u64::from(r.repeatable)),
         }
     }
@@ -239,11 +239,11 @@
     }
 
     fn pick_by_policy(&mut self, r: &Request, now: u64) -> Option<(usize, Option<AttemptKey>)> {
-        let ask = self.ask(r, now);
+        let info = self.info(r, now);
         let tried: Vec<UpstreamKey> = r.tried.iter().map(|&i| self.keys[r.from][i]).collect();
         let b = &mut self.boxes[r.from];
-        let pick = b.pick(&ask, &tried, Time::from_millis(now)).ok()?;
-        let worker = self.by_name[b.place(pick.upstream).expect("upstream is known").name];
+        let pick = b.pick(&info, &tried, Time::from_millis(now)).ok()?;
+        let worker = self.by_name[b.endpoint(pick.upstream).expect("upstream is known").name];
         self.keys[r.from][worker] = pick.upstream;
         self.count(r, |c| c.probes += usize::from(pick.reason == Reason::Canary));
         Some((worker, Some(pick.attempt)))
@@ -298,10 +298,10 @@
 
     fn step(&mut self, now: u64) {
         let at = Time::from_millis(now);
-        while let Some((_, from, news)) = self.news.pop_front_if(|(due, ..)| *due <= now) {
+        while let Some((_, from, updates)) = self.updates.pop_front_if(|(due, ..)| *due <= now) {
             let sender = NameId(from as u64 + 1);
             for (_, b) in self.boxes.iter_mut().enumerate().filter(|(to, _)| *to != from) {
-                news.iter().for_each(|&n| drop(b.heard(sender, n, at)));
+                updates.iter().for_each(|&n| drop(b.apply_update(sender, n, at)));
             }
         }
         for r in std::mem::take(&mut self.requests) {
@@ -313,9 +313,9 @@
             batched.extend(b.take_updates().into_iter().map(|n| (now, n)));
             let waits = batched.first().is_none_or(|&(at, _)| now < at + hold);
             if !waits || !batched.iter().all(|(_, n)| n.is_deferrable()) {
-                let aged = |(at, n): (u64, Update)| n.aged(Duration::from_millis(now - at));
-                let news = batched.drain(..).map(aged).collect();
-                self.news.push_back((now + NEWS_DELAY_MS, from, news));
+                let aged = |(at, n): (u64, Update)| n.with_age(Duration::from_millis(now - at));
+                let updates = batched.drain(..).map(aged).collect();
+                self.updates.push_back((now + UPDATE_DELAY_MS, from, updates));
             }
         }
     }
@@ -326,7 +326,7 @@
         let Some(sent) = r.open else { return };
         if sent.ends > now {
             if let Some(key) = sent.key {
-                self.boxes[r.from].is_in_flight(key, at);
+                self.boxes[r.from].record_in_flight(key, at);
             }
             self.requests.push(r);
             return;
@@ -349,7 +349,7 @@
     }
 
     fn may_retry(&mut self, r: &Request, end: End, now: u64) -> bool {
-        let ask = self.ask(r, now);
+        let info = self.info(r, now);
         let b = &mut self.boxes[r.from];
         if end == End::Unreachable {
             // Nothing was sent, so a retry costs no budget.
@@ -357,8 +357,8 @@
         }
         (r.repeatable || end == End::Rejected)
             && r.tried.len() < MAX_ATTEMPTS
-            && b.can_meet_deadline(&ask)
-            && b.spend_retry(ask.service, RetryReason::Failed, Time::from_millis(now))
+            && b.can_meet_deadline(&info)
+            && b.spend_retry(info.service, RetryReason::Failed, Time::from_millis(now))
     }
 
     /// Reports the result of an attempt to the box.
@@ -369,19 +369,19 @@
             End::Rejected => {
                 let backoff =
                     (self.plan.backoff_ms > 0).then(|| Duration::from_millis(self.plan.backoff_ms));
-                b.signalled(key, &Signals { backoff, ..Signals::default() }, at);
+                b.record_signals(key, &Signals { backoff, ..Signals::default() }, at);
                 self.workers[sent.worker].reject(from, at.as_micros() / 1_000, &self.plan);
                 Outcome::NotRun
             }
             End::Unreachable => Outcome::Unreachable,
-            End::Hung => Outcome::Late,
+            End::Hung => Outcome::TimedOut,
             End::Served | End::Failed => {
-                b.answered(key, sent.end == End::Served, at);
-                b.signalled(key, &Signals { limit: sent.limit, ..Signals::default() }, at);
+                b.response_started(key, sent.end == End::Served, at);
+                b.record_signals(key, &Signals { limit: sent.limit, ..Signals::default() }, at);
                 if sent.limit.is_none() {
                     b.clear_limit(key);
                 }
-                Outcome::Whole
+                Outcome::Completed
             }
         };
         b.finish(key, outcome, at);
@@ -451,7 +451,7 @@
             state: MemberState::Live,
         };
         b.set_upstream(
-            UpstreamEntry { member, slots: plan.slots, cold: Duration::ZERO, born: None },
+            UpstreamEntry { member, slots: plan.slots, warm_up: Duration::ZERO, started: None },
             Time::ZERO,
         );
     }
--- a/crates/honeypulley_policy/tests/quarantine/fleet.rs
+++ b/crates/honeypulley_policy/tests/quarantine/fleet.rs
@@ -2,17 +2,17 @@
 //!
 //! Each upstream runs about twenty requests of many boxes, which all fail in a crash and become
 //! suspects. Callers of failed requests retry a few times. The caller of the bad request retries
-//! forever, on any box. Some announcements between boxes are lost.
+//! forever, on any box. Some updates between boxes are lost.
 
 use honeypulley_policy::collector::NameId;
-use honeypulley_policy::quarantine::{End, Fingerprint, Fingerprints, Quarantine, Restriction};
+use honeypulley_policy::quarantine::{Crash, Fingerprint, Fingerprints, Quarantine, Restriction};
 use honeypulley_policy::time::Time;
 use rstest::rstest;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
 const STEP: Duration = Duration::from_millis(5);
-/// Delay of announcements to the other boxes, in steps.
+/// Delay of updates to the other boxes, in steps.
 const ANNOUNCE_STEPS: u64 = 1;
 /// Upper bound of the random duration of a request, in steps.
 const MAX_WORK: u64 = 80;
@@ -36,7 +36,7 @@
     upstreams: usize,
     /// Requests that arrive in each step.
     arrivals: usize,
-    /// Share of announcements that each box loses.
+    /// Share of updates that each box loses.
     loss_rate: f64,
     has_bad: bool,
     /// Crashes that are unrelated to requests, spread evenly over the run.
@@ -195,8 +195,11 @@
             self.in_flight.iter().partition(|o| o.upstream == upstream);
         self.in_flight = in_flight;
         for o in lost {
-            let end =
-                End { upstream: NameId(upstream as u64), began: time(o.began), ended: time(step) };
+            let end = Crash {
+                upstream: NameId(upstream as u64),
+                began: time(o.began),
+                ended: time(step),
+            };
             let now = time(step);
             self.boxes[o.at_box].record_crash(request(o.number), end, now);
             let restriction = self.boxes[o.at_box].restriction(request(o.number), now);
@@ -209,13 +212,13 @@
         }
     }
 
-    /// Delivers the announcements of a box to the others.
+    /// Delivers the updates of a box to the others.
     fn broadcast(&mut self, from: usize, step: u64) {
         let now = time(step + ANNOUNCE_STEPS);
-        for news in self.boxes[from].take_updates() {
+        for update in self.boxes[from].take_updates() {
             for (i, b) in self.boxes.iter_mut().enumerate() {
                 if i != from && self.rng.f64() >= self.params.loss_rate {
-                    b.heard(news, now);
+                    b.apply_update(update, now);
                 }
             }
         }
--- a/crates/honeypulley_proxy/src/race.rs
+++ b/crates/honeypulley_proxy/src/race.rs
@@ -9,7 +9,7 @@
 use honeypulley_policy::balance::RetryReason;
 use honeypulley_policy::chooser::RequestInfo;
 use honeypulley_policy::collector::NameId;
-use honeypulley_policy::quarantine::{End, Restriction};
+use honeypulley_policy::quarantine::{Crash, Restriction};
 use honeypulley_policy::router::{AttemptKey, Refusal, UpstreamKey};
 use honeypulley_policy::time::Time;
 use http::StatusCode;
@@ -146,11 +146,11 @@
         let is_last = progress.maybe_ran() + 1 >= self.decision.max_attempts;
         let left = self.left();
         let repeatable = self.decision.info.repeatable && !is_last;
-        let info = RequestInfo { repeatable, left, ..self.decision.info };
+        let info = RequestInfo { repeatable, remaining: left, ..self.decision.info };
         let pick = match policy.pick(&info, &progress.attempted, now) {
             Ok(p) => p,
             Err(r) => {
-                let expected = policy.expected(&info, now);
+                let expected = policy.expected_latency(&info, now);
                 drop(policy);
                 self.log_refusal(kind, r, expected);
                 progress.retry_after = Some(r.retry_after);
@@ -158,7 +158,7 @@
             }
         };
         let location = policy
-            .place(pick.upstream)
+            .endpoint(pick.upstream)
             .expect("the policy knows an upstream that it has just picked");
         let to = Destination { name: location.name.to_owned(), addr: location.addr.to_owned() };
         let known = policy.inputs(pick.upstream, now);
@@ -169,10 +169,10 @@
             organisation = self.decision.owner.name(), service,
             upstream = to.name.as_str(), reason:debug = pick.reason, version,
             attempts = self.decision.max_attempts, repeatable = self.decision.info.repeatable,
-            near = known.near, sick = known.sick as f32, path = known.path as f32, busy = known.busy as f32,
+            near = known.same_hall, sick = known.unhealthy as f32, path = known.path as f32, busy = known.busy as f32,
             load_age_ms = known.load_age.map(|d| d.as_millis() as u64),
-            limit = known.limit.map(|l| l.rate as f32), limit_part = known.limit.map(|l| l.part as f32),
-            limit_left = known.limit.and_then(|l| l.left).map(|left| left as f32),
+            limit = known.limit.map(|l| l.rate as f32), limit_part = known.limit.map(|l| l.share as f32),
+            limit_left = known.limit.and_then(|l| l.remaining).map(|left| left as f32),
             list:display = known.list.version, list_age_ms = known.list.age.map(|d| d.as_millis() as u64);
             "route: {kind} sent to {}", to.name
         );
@@ -212,9 +212,9 @@
         self.cancel_lost(progress);
         let stuck = {
             let mut policy = self.gate.policy.lock();
-            progress.in_flight.iter().for_each(|a| policy.is_in_flight(a.key, now));
+            progress.in_flight.iter().for_each(|a| policy.record_in_flight(a.key, now));
             let newest = progress.in_flight.last();
-            newest.and_then(|a| policy.hedge(&self.decision.info, a.key, now))
+            newest.and_then(|a| policy.hedge_value(&self.decision.info, a.key, now))
         };
         let Some(stuck) = stuck else { return };
         if self.restriction() == Restriction::Clear
@@ -238,8 +238,8 @@
         drop(policy);
         let now = self.gate.now();
         for a in lost {
-            let end = End { upstream: a.name, began: a.began, ended: now };
-            self.gate.suspects.record_crash(self.out.same, end, now);
+            let crash = Crash { upstream: a.name, began: a.began, ended: now };
+            self.gate.suspects.record_crash(self.out.same, crash, now);
             a.abort.abort();
         }
     }
@@ -261,7 +261,7 @@
     /// Returns whether another upstream is available for the request.
     fn has_upstream(&self, progress: &mut Progress) -> bool {
         let (info, now) =
-            (RequestInfo { left: self.left(), ..self.decision.info }, self.gate.now());
+            (RequestInfo { remaining: self.left(), ..self.decision.info }, self.gate.now());
         let refused =
             self.gate.policy.lock().check_available(&info, &progress.attempted, now).err();
         if let Some(r) = refused {
@@ -277,7 +277,7 @@
     }
 
     fn can_meet_deadline(&self) -> bool {
-        let info = RequestInfo { left: self.left(), ..self.decision.info };
+        let info = RequestInfo { remaining: self.left(), ..self.decision.info };
         self.gate.policy.lock().can_meet_deadline(&info)
     }
 
@@ -327,8 +327,8 @@
                 .count_tagged("retries.denied", &[("service", self.decision.service.as_str())]);
             log::info!(
                 request = self.id.as_str(), service = self.decision.service.as_str(), why:debug = why,
-                seen = known.seen, own = known.own, others = known.others, budget = known.budget as f32,
-                past_known = known.past_known;
+                seen = known.requests, own = known.own, others = known.others, budget = known.budget as f32,
+                past_known = known.history_known;
                 "route: not sent again, the retry budget is spent"
             );
         }
@@ -339,7 +339,7 @@
         log::info!(
             request = self.id.as_str(), service = self.decision.service.as_str(),
             version = self.decision.version,
-            aim_ms = self.decision.info.aim.map(|d| d.as_millis() as u64),
+            aim_ms = self.decision.info.target.map(|d| d.as_millis() as u64),
             expected_ms = expected.map(|d| d.as_millis() as u64);
             "route: {kind} not sent, {}", r.kind
         );
@@ -347,7 +347,7 @@
 
     fn log_server_error(&self, answer: &Answer) {
         let policy = self.gate.policy.lock();
-        let upstream = policy.place(answer.guard.upstream).map_or("gone", |p| p.name);
+        let upstream = policy.endpoint(answer.guard.upstream).map_or("gone", |p| p.name);
         log::warn!(
             request = self.id.as_str(), service = self.decision.service.as_str(), upstream,
             status = answer.head.status.as_u16();
@@ -357,7 +357,7 @@
 
     fn record_failure(&self, upstream: UpstreamKey, failure: &Failure, progress: &mut Progress) {
         let policy = self.gate.policy.lock();
-        let name = policy.place(upstream).map_or("gone", |p| p.name);
+        let name = policy.endpoint(upstream).map_or("gone", |p| p.name);
         let (request, service) = (self.id.as_str(), self.decision.service.as_str());
         let reason = match failure {
             Failure::NotSent { .. } => "not_sent",
--- a/crates/honeypulley_proxy/src/shared.rs
+++ b/crates/honeypulley_proxy/src/shared.rs
@@ -237,7 +237,7 @@
             router.confirm_permits(at);
         }
         while let Some(v) = self.feed.verdicts.pop() {
-            if let Some(name) = router.set_verdict(&v, now) {
+            if let Some(name) = router.apply_verdict(&v, now) {
                 log::info!(
                     upstream = name, witnesses = v.witnesses, hold_ms = v.hold.as_millis() as u64;
                     "verdict: {name} is {:?}, reported by {} boxes", v.judgement, v.witnesses
@@ -290,8 +290,8 @@
                 repeatable,
                 priority: 0,
                 large_response: false,
-                aim: None,
-                left: None,
+                target: None,
+                remaining: None,
                 route: NameId::of(name),
             },
             service: name.to_owned(),
--- a/crates/honeypulley_proxy/src/upgrade.rs
+++ b/crates/honeypulley_proxy/src/upgrade.rs
@@ -40,7 +40,7 @@
         };
         let mut caller = TokioIo::new(caller);
         let result = tokio::io::copy_bidirectional(&mut caller, &mut upstream).await;
-        guard.ended(Outcome::Whole);
+        guard.ended(Outcome::Completed);
         match result {
             Ok((up, down)) => {
                 log::info!(request = id.as_str(), up, down; "session: closed by caller or upstream");
--- a/crates/honeypulley_proxy/tests/race/support.rs
+++ b/crates/honeypulley_proxy/tests/race/support.rs
@@ -57,7 +57,7 @@
             hall: "h".to_owned(),
             state: MemberState::Live,
         };
-        let listed = UpstreamEntry { member, slots: 3, cold: Duration::ZERO, born: None };
+        let listed = UpstreamEntry { member, slots: 3, warm_up: Duration::ZERO, started: None };
         balancer.set_upstream(listed, Time::ZERO);
     }
     let service = balancer.service("s").expect("the service was added");
@@ -84,8 +84,8 @@
         repeatable: false,
         priority: 0,
         large_response: false,
-        aim: Some(Duration::from_millis(200)),
-        left: None,
+        target: Some(Duration::from_millis(200)),
+        remaining: None,
         route: NameId::of("r"),
     };
     let decision = RouteDecision {
--- a/tools/trial/src/model.rs
+++ b/tools/trial/src/model.rs
@@ -222,8 +222,8 @@
         let l = UpstreamEntry {
             member: m.clone(),
             slots: scenario.size.slots,
-            cold: Duration::ZERO,
-            born: None,
+            warm_up: Duration::ZERO,
+            started: None,
         };
         result.set_upstream(l, Time::ZERO);
     }
@@ -343,7 +343,7 @@
             Event::Deadline { request } => self.deadline_passed(request),
             Event::Tick { b } => self.tick(b),
             Event::Report { c, report } => {
-                let verdicts = self.collectors[c].report(&report, self.now);
+                let verdicts = self.collectors[c].apply_report(&report, self.now);
                 self.publish(&verdicts);
             }
             Event::CollectTick => {
@@ -354,12 +354,12 @@
                 self.schedule(Duration::from_millis(100), Event::CollectTick);
             }
             Event::Verdict { b, v } => {
-                self.routers[b].set_verdict(&v, self.now);
+                self.routers[b].apply_verdict(&v, self.now);
             }
             Event::Permits { b } => self.apply_permits(b),
             Event::Observe => self.observe(),
             Event::Update { from, to, update } => {
-                self.balancers[to].heard(NameId(from as u64 + 1), update, self.now);
+                self.balancers[to].apply_update(NameId(from as u64 + 1), update, self.now);
             }
             Event::Overdue { request } => self.overdue(request),
         }
--- a/tools/trial/src/model/traffic.rs
+++ b/tools/trial/src/model/traffic.rs
@@ -57,7 +57,7 @@
             Policy::Naive | Policy::Oracle => true,
             Policy::Belief => {
                 let k = self.services[b];
-                self.balancers[b].arrived(k, self.now);
+                self.balancers[b].record_request(k, self.now);
                 true
             }
             _ => self.routers[b].admit(self.keys[b], self.now).is_ok(),
@@ -98,26 +98,26 @@
             Policy::Naive => Some((self.naive[b].pick(now, &mut self.rng)?, None, true)),
             Policy::Oracle => Some((self.best_upstream(), None, true)),
             Policy::Belief => {
-                let ask = RequestInfo {
+                let info = RequestInfo {
                     service: self.services[b],
                     repeatable: self.scenario.repeatable,
                     priority: 0,
                     large_response: false,
-                    aim: Some(self.scenario.size.deadline / 5),
-                    left: Some(self.scenario.size.deadline),
+                    target: Some(self.scenario.size.deadline / 5),
+                    remaining: Some(self.scenario.size.deadline),
                     route: NameId::of("r"),
                 };
                 let last_tried = self.requests[request].last_tried;
                 let last_tried: Vec<UpstreamKey> = last_tried.into_iter().collect();
-                let p = self.balancers[b].pick(&ask, &last_tried, now).ok()?;
+                let p = self.balancers[b].pick(&info, &last_tried, now).ok()?;
                 self.broadcast_updates(b);
-                let up = upstream_index(self.balancers[b].place(p.upstream)?.name);
+                let up = upstream_index(self.balancers[b].endpoint(p.upstream)?.name);
                 self.requests[request].last_tried = Some(p.upstream);
                 Some((up, Some(p.attempt), p.reason == Reason::LeastLoss))
             }
             _ => {
                 let p = self.routers[b].pick(self.keys[b], true, &[], now).ok()?;
-                let up = upstream_index(self.routers[b].upstream(p.upstream)?.0);
+                let up = upstream_index(self.routers[b].endpoint(p.upstream)?.0);
                 Some((up, Some(p.attempt), p.reason == Reason::TwoChoices))
             }
         }
@@ -152,7 +152,7 @@
         let r = &self.requests[request];
         if let (false, Some(a)) = (r.done, r.attempt) {
             let b = r.b;
-            self.balancers[b].is_in_flight(a, self.now);
+            self.balancers[b].record_in_flight(a, self.now);
             self.broadcast_updates(b);
         }
     }
@@ -199,7 +199,7 @@
         if self.in_failure_episode(up) && self.rng.f64() < EPISODE_FAILURE_SHARE {
             (ok, secs) = (false, secs / 10.0);
         }
-        let mut kind = Outcome::Whole;
+        let mut kind = Outcome::Completed;
         if self.is_faulty(up) && self.now >= FAULT_AT {
             let phase = self.now.since(FAULT_AT).as_millis() / 1_000;
             match self.scenario.fault {
@@ -209,7 +209,7 @@
                 Fault::Flap if phase.is_multiple_of(2) => secs = 1e6,
                 Fault::Slow => secs *= 10.0,
                 Fault::Fail => (ok, secs) = (false, secs / 10.0),
-                Fault::Cut if self.rng.f64() < 0.33 => kind = Outcome::Wrong,
+                Fault::Cut if self.rng.f64() < 0.33 => kind = Outcome::Malformed,
                 _ => {}
             }
         }
@@ -245,10 +245,10 @@
         if self.requests[request].done {
             return;
         }
-        let is_success = ok && kind == Outcome::Whole;
+        let is_success = ok && kind == Outcome::Completed;
         self.report_outcome(request, ok, kind);
         let r = &mut self.requests[request];
-        if !is_success && r.attempts < 2 && kind == Outcome::Whole && self.scenario.repeatable {
+        if !is_success && r.attempts < 2 && kind == Outcome::Completed && self.scenario.repeatable {
             return self.send(request);
         }
         r.done = true;
@@ -266,18 +266,18 @@
         match r.attempt {
             None if self.scenario.policy == Policy::Oracle => {}
             None => {
-                self.naive[b].finish(up, ok && kind == Outcome::Whole, now);
+                self.naive[b].finish(up, ok && kind == Outcome::Completed, now);
             }
             Some(a) if self.scenario.policy == Policy::Belief => {
-                if kind != Outcome::Late {
-                    self.balancers[b].answered(a, ok, now);
+                if kind != Outcome::TimedOut {
+                    self.balancers[b].response_started(a, ok, now);
                 }
                 self.balancers[b].finish(a, kind, now);
                 self.broadcast_updates(b);
             }
             Some(a) => {
-                if kind != Outcome::Late {
-                    self.routers[b].answered(a, ok, now);
+                if kind != Outcome::TimedOut {
+                    self.routers[b].response_started(a, ok, now);
                 }
                 self.routers[b].finish(a, kind, now);
             }
@@ -288,7 +288,7 @@
         if self.requests[request].done {
             return;
         }
-        self.report_outcome(request, false, Outcome::Late);
+        self.report_outcome(request, false, Outcome::TimedOut);
         let up = self.requests[request].up;
         self.requests[request].done = true;
         // Cancellation frees the slot or removes the request from the queue.
