--- a/crates/honeypulley_daemon/src/collect.rs
+++ b/crates/honeypulley_daemon/src/collect.rs
@@ -33,13 +33,13 @@
 
 /// Inputs of the last refresh.
 #[derive(Default)]
-struct PickInputs {
+struct RefreshInputs {
     bundle: Version,
     permits: Revision,
     roster: Option<Arc<Roster>>,
 }
 
-impl PickInputs {
+impl RefreshInputs {
     fn matches(&self, other: &Self) -> bool {
         let roster = match (&self.roster, &other.roster) {
             (Some(a), Some(b)) => Arc::ptr_eq(a, b),
@@ -77,7 +77,7 @@
         let mut services: BTreeMap<NameId, Collected> = BTreeMap::new();
         let mut tick = tokio::time::interval(TICK_INTERVAL);
         let mut ticks = 0u32;
-        let mut last_inputs = PickInputs::default();
+        let mut last_inputs = RefreshInputs::default();
         loop {
             tokio::select! {
                 report = self.ctx.reports_in.recv() => {
@@ -88,7 +88,7 @@
                 }
                 _ = tick.tick() => {
                     if ticks.is_multiple_of(FORCED_REFRESH_TICKS) {
-                        last_inputs = PickInputs::default();
+                        last_inputs = RefreshInputs::default();
                     }
                     if ticks.is_multiple_of(REFRESH_TICKS) {
                         self.refresh(&mut services, &mut last_inputs);
@@ -127,10 +127,10 @@
     ///
     /// The placement ranks all boxes for every service, so it is computed only when
     /// one of these inputs has changed.
-    fn refresh(&self, services: &mut BTreeMap<NameId, Collected>, last_inputs: &mut PickInputs) {
+    fn refresh(&self, services: &mut BTreeMap<NameId, Collected>, last_inputs: &mut RefreshInputs) {
         let (Some(roster), Some(f)) = (self.ctx.roster(), self.ctx.bundle()) else { return };
         let permits = self.ctx.permits();
-        let now = PickInputs {
+        let now = RefreshInputs {
             bundle: f.head.version,
             permits: permits.version,
             roster: Some(Arc::clone(&roster)),
--- a/crates/honeypulley_daemon/src/peer.rs
+++ b/crates/honeypulley_daemon/src/peer.rs
@@ -121,7 +121,7 @@
             Body::Tell { nonce, bundle, permits, age } => {
                 let queried_at = self.queries.borrow_mut().remove(&nonce);
                 if let Some(queried_at) = queried_at {
-                    self.handle_tell(d.sender, from, queried_at, bundle, permits, age);
+                    self.handle_versions(d.sender, from, queried_at, bundle, permits, age);
                 }
             }
             Body::Rumour { bundle } => {
@@ -147,7 +147,7 @@
         }
     }
 
-    fn handle_tell(
+    fn handle_versions(
         self: &Rc<Self>,
         peer: NameId,
         from: SocketAddr,
