--- a/crates/honeypulley_mesh/src/peers/outbox.rs
+++ b/crates/honeypulley_mesh/src/peers/outbox.rs
@@ -1,6 +1,6 @@
 //! Queues of outgoing datagrams.
 //!
-//! Datagrams are sent by a separate task, since a narrow link delays each recipient by some
+//! Datagrams are sent by a separate task, since a slow link delays each recipient by some
 //! milliseconds. If receiving had to wait for that, the receive buffer would overflow and
 //! drop the very beacons that reveal missed changes.
 
--- a/crates/honeypulley_mesh/src/readers.rs
+++ b/crates/honeypulley_mesh/src/readers.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 /// Target number of readers in a fleet.
-pub const WANTED: usize = 3;
+pub const TARGET_READERS: usize = 3;
 /// Interval between beacons of a reader.
 pub const BEACON_INTERVAL: Duration = Duration::from_millis(500);
 /// Timeout of a watch, short enough that an unresponsive platform is detected soon.
@@ -47,10 +47,10 @@
 pub const DECIDE_INTERVAL_MS: (u64, u64) = (150, 350);
 /// As [`DECIDE_INTERVAL_MS`], while no reader is reachable.
 const SILENT_DECIDE_INTERVAL_MS: (u64, u64) = (60, 140);
-/// Factor on the start probability of a box with a narrow link.
-const NARROW_LINK_FACTOR: f64 = 0.1;
-/// Probability, per decision, that a box with a narrow link stops if others suffice.
-const NARROW_LINK_STOP_PROBABILITY: f64 = 0.3;
+/// Factor on the start probability of a box with a slow link.
+const SLOW_LINK_FACTOR: f64 = 0.1;
+/// Probability, per decision, that a box with a slow link stops if others suffice.
+const SLOW_LINK_STOP_PROBABILITY: f64 = 0.3;
 /// Maximum probability, per decision, of starting to read if no reader is reachable.
 const MAX_START_PROBABILITY: f64 = 0.4;
 /// Expected number of boxes that start to read per decision if no reader is reachable.
@@ -78,7 +78,7 @@
     last_read: Option<Time>,
     /// Failed calls since the last successful one.
     consecutive_failures: u32,
-    narrow_link: bool,
+    slow_link: bool,
     /// Latest known time at which the platform answered any box.
     last_answer: Option<Time>,
     /// When this box last received the answer of a stale read.
@@ -102,7 +102,7 @@
             last_beacon: None,
             last_read: None,
             consecutive_failures: 0,
-            narrow_link: false,
+            slow_link: false,
             last_answer: None,
             stale_answer: None,
             has_failed: false,
@@ -111,12 +111,12 @@
         }
     }
 
-    /// Sets whether this box has a narrow link.
+    /// Sets whether this box has a slow link.
     ///
-    /// A box with a narrow link leaves reading to others if they suffice.
+    /// A box with a slow link leaves reading to others if they suffice.
     #[must_use]
-    pub const fn with_slow_link(mut self, narrow: bool) -> Self {
-        self.narrow_link = narrow;
+    pub const fn with_slow_link(mut self, is_slow: bool) -> Self {
+        self.slow_link = is_slow;
         self
     }
 
@@ -310,21 +310,22 @@
         if let Some(since) = self.reading_since {
             let is_recent = now.since(since) < MAX_FRESH_AGE && !self.is_read_failing();
             let is_trusted = is_recent || self.read_age(now) < MAX_FRESH_AGE;
-            let is_surplus = if is_trusted { self.rank(now) >= WANTED } else { fresh >= WANTED };
+            let is_surplus =
+                if is_trusted { self.rank(now) >= TARGET_READERS } else { fresh >= TARGET_READERS };
             let is_yielding =
-                self.narrow_link && fresh >= WANTED && draw < NARROW_LINK_STOP_PROBABILITY;
+                self.slow_link && fresh >= TARGET_READERS && draw < SLOW_LINK_STOP_PROBABILITY;
             if is_surplus || is_yielding {
                 self.reading_since = None;
             }
-        } else if fresh < WANTED {
-            let missing = (WANTED - fresh) as f64;
+        } else if fresh < TARGET_READERS {
+            let missing = (TARGET_READERS - fresh) as f64;
             let boxes = boxes.max(1) as f64;
             let probability = if no_reader {
                 MAX_START_PROBABILITY.min(EXPECTED_STARTS / boxes)
             } else {
                 1.5 * missing / boxes
             };
-            let link_factor = if self.narrow_link && !no_reader { NARROW_LINK_FACTOR } else { 1.0 };
+            let link_factor = if self.slow_link && !no_reader { SLOW_LINK_FACTOR } else { 1.0 };
             if draw < probability * link_factor {
                 self.reading_since = Some(now);
             }
--- a/crates/honeypulley_mesh/tests/readers.rs
+++ b/crates/honeypulley_mesh/tests/readers.rs
@@ -1,6 +1,6 @@
 //! Selection of readers, in simulated time.
 
-use honeypulley_mesh::readers::{BEACON_INTERVAL, Readers, WANTED};
+use honeypulley_mesh::readers::{BEACON_INTERVAL, Readers, TARGET_READERS};
 use honeypulley_peer::codec::Beacon;
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::revision::Revision;
@@ -97,7 +97,7 @@
         let mut f = Fleet::new(n, seed);
         f.run(6_000);
         assert!(
-            (WANTED..=WANTED + 1).contains(&f.working_readers()),
+            (TARGET_READERS..=TARGET_READERS + 1).contains(&f.working_readers()),
             "seed {seed}: {:?}",
             f.readers()
         );
@@ -115,7 +115,7 @@
         f.run(2_500);
         assert!(f.working_readers() >= 1, "seed {seed}: no box reads");
         f.run(2_500);
-        assert!(f.working_readers() >= WANTED, "seed {seed}: {} read", f.working_readers());
+        assert!(f.working_readers() >= TARGET_READERS, "seed {seed}: {} read", f.working_readers());
     }
 }
 
@@ -130,7 +130,7 @@
         f.run(5_000);
         assert!(f.working_readers() >= 1, "seed {seed}: no reader is answered");
         f.run(5_000);
-        assert!(f.working_readers() >= WANTED, "seed {seed}: {} read", f.working_readers());
+        assert!(f.working_readers() >= TARGET_READERS, "seed {seed}: {} read", f.working_readers());
     }
 }
 
@@ -143,7 +143,7 @@
             f.answered[i] = false;
         }
         f.run(8_000);
-        assert!(f.working_readers() >= WANTED, "seed {seed}: {} read", f.working_readers());
+        assert!(f.working_readers() >= TARGET_READERS, "seed {seed}: {} read", f.working_readers());
     }
 }
 
@@ -157,7 +157,11 @@
     assert!(f.boxes[isolated_box].is_reading());
     f.isolated[isolated_box] = false;
     f.run(4_000);
-    assert!((WANTED..=WANTED + 1).contains(&f.working_readers()), "{:?}", f.readers());
+    assert!(
+        (TARGET_READERS..=TARGET_READERS + 1).contains(&f.working_readers()),
+        "{:?}",
+        f.readers()
+    );
 }
 
 #[test]
@@ -170,7 +174,11 @@
     assert!(count <= 36, "{count}");
     f.answered.fill(true);
     f.run(5_000);
-    assert!((WANTED..=WANTED + 2).contains(&f.working_readers()), "{:?}", f.readers());
+    assert!(
+        (TARGET_READERS..=TARGET_READERS + 2).contains(&f.working_readers()),
+        "{:?}",
+        f.readers()
+    );
 }
 
 #[test]
