--- a/crates/honeypulley_mesh/src/lists.rs
+++ b/crates/honeypulley_mesh/src/lists.rs
@@ -10,7 +10,7 @@
 use crate::told::Reassembler;
 use honeypulley_peer::codec::{Beacon, ListUpdate};
 use honeypulley_peer::listing::{Entry, EntryState};
-use honeypulley_peer::server::Held;
+use honeypulley_peer::server::Versioned;
 use honeypulley_platform::api::Changes;
 use honeypulley_policy::chooser::ListStatus;
 use honeypulley_policy::collector::NameId;
@@ -275,14 +275,14 @@
         let lists = self.lists.lock();
         let entries = lists.list.changes_after(since, now)?;
         let age = lists.list.as_of().map_or(Duration::MAX, |at| now.since(at));
-        ListUpdate::cut(lists.list.diff_base(since), lists.list.version(), age, &entries)
+        ListUpdate::split(lists.list.diff_base(since), lists.list.version(), age, &entries)
     }
 
     /// Returns the full list, for a peer that pulls it.
     #[must_use]
-    pub fn list_snapshot(&self) -> Held<Vec<Entry>> {
+    pub fn list_snapshot(&self) -> Versioned<Vec<Entry>> {
         let lists = self.lists.lock();
-        Held { version: lists.list.version(), value: lists.list.entries(self.now()) }
+        Versioned { version: lists.list.version(), value: lists.list.entries(self.now()) }
     }
 
     /// Returns whether a full list has been applied.
--- a/crates/honeypulley_mesh/src/peers.rs
+++ b/crates/honeypulley_mesh/src/peers.rs
@@ -12,7 +12,7 @@
 use futures::future::LocalBoxFuture;
 use honeypulley_peer::codec::{Body, Datagram};
 use honeypulley_peer::listing::{BoxAddress, Entry};
-use honeypulley_peer::server::{self, Held, PeerView};
+use honeypulley_peer::server::{self, PeerView, Versioned};
 use honeypulley_peer::socket::receive;
 use honeypulley_platform::api::Platform;
 use honeypulley_supervisor::tree::{Duty, Shutdown, block_on};
@@ -190,11 +190,11 @@
         Box::pin(self.0.wait_for_table(number))
     }
 
-    fn table(&self) -> Held<Bytes> {
+    fn table(&self) -> Versioned<Bytes> {
         self.0.table_snapshot()
     }
 
-    fn upstreams(&self) -> Held<Vec<Entry>> {
+    fn upstreams(&self) -> Versioned<Vec<Entry>> {
         self.0.list_snapshot()
     }
 }
--- a/crates/honeypulley_mesh/src/peers/pull.rs
+++ b/crates/honeypulley_mesh/src/peers/pull.rs
@@ -7,7 +7,7 @@
 use crate::tree;
 use honeypulley_peer::client::{PeerClient, PeerError};
 use honeypulley_peer::codec::Body;
-use honeypulley_peer::server::Held;
+use honeypulley_peer::server::Versioned;
 use honeypulley_platform::api::Object;
 use honeypulley_policy::collector::NameId;
 use honeypulley_policy::revision::Revision;
@@ -149,7 +149,7 @@
 
     async fn pull_list_from(&self, from: SocketAddr) -> Result<(), PeerError> {
         let peer = PeerClient::connect(from, &self.mesh.settings.key).await?;
-        let Held { version, value } = peer.upstreams().await?;
+        let Versioned { version, value } = peer.upstreams().await?;
         if !version.is_zero() {
             self.mesh.replace(version, value, &from.to_string());
         }
@@ -223,7 +223,7 @@
         wait: Duration,
     ) -> Result<(), PeerError> {
         let peer = PeerClient::connect(from, &self.mesh.settings.key).await?;
-        let Held { version, value } = peer.table(number, wait).await?;
+        let Versioned { version, value } = peer.table(number, wait).await?;
         if !version.is_zero() {
             let key = self.mesh.decoder.keys().table_key.clone();
             self.mesh.apply_table(&Object { key, value, version }, &from.to_string());
--- a/crates/honeypulley_mesh/src/peers/tell.rs
+++ b/crates/honeypulley_mesh/src/peers/tell.rs
@@ -87,7 +87,7 @@
             }
             has_sent = true;
             let age = self.mesh.list_status().age.unwrap_or(Duration::MAX);
-            match ListUpdate::cut(change.since, change.upto, age, &change.entries) {
+            match ListUpdate::split(change.since, change.upto, age, &change.entries) {
                 Some(parts) => {
                     parts
                         .into_iter()
--- a/crates/honeypulley_mesh/src/state.rs
+++ b/crates/honeypulley_mesh/src/state.rs
@@ -13,7 +13,7 @@
 use honeypulley_peer::codec::Beacon;
 use honeypulley_peer::key::FleetKey;
 use honeypulley_peer::listing::BoxAddress;
-use honeypulley_peer::server::Held;
+use honeypulley_peer::server::Versioned;
 use honeypulley_platform::api::Object;
 use honeypulley_policy::balance::{Balancer, FleetScope, Update};
 use honeypulley_policy::collector::NameId;
@@ -403,9 +403,9 @@
 
     /// Returns the held routing table, to be sent to a peer.
     #[must_use]
-    pub fn table_snapshot(&self) -> Held<Bytes> {
+    pub fn table_snapshot(&self) -> Versioned<Bytes> {
         let held = self.table.lock();
-        Held { version: held.revision, value: held.raw.clone() }
+        Versioned { version: held.revision, value: held.raw.clone() }
     }
 
     /// Returns the number of the held routing table, or zero if there is none.
--- a/crates/honeypulley_mesh/tests/fleet.rs
+++ b/crates/honeypulley_mesh/tests/fleet.rs
@@ -108,7 +108,8 @@
             SimBox { list, reassembler: Reassembler::default(), catch_up: CatchUp::default(), book }
         };
         let entries: Vec<Entry> = (0..LEAVING).map(|i| entry(i, at(BEFORE + 1 + i))).collect();
-        let fragments = ListUpdate::cut(at(BEFORE), at(BEFORE + LEAVING), Duration::ZERO, &entries);
+        let fragments =
+            ListUpdate::split(at(BEFORE), at(BEFORE + LEAVING), Duration::ZERO, &entries);
         Self {
             boxes: (0..n).map(sim_box).collect(),
             fragments: fragments.expect("the entries fit into one update"),
@@ -126,7 +127,7 @@
         let position = |number| Revision::new(2, number);
         let entries: Vec<Entry> = (0..RESTORED).map(|i| entry(i, position(i % BEFORE))).collect();
         let fragments =
-            ListUpdate::cut(Revision::ZERO, position(BEFORE - 1), Duration::ZERO, &entries);
+            ListUpdate::split(Revision::ZERO, position(BEFORE - 1), Duration::ZERO, &entries);
         self.fragments = fragments.expect("the entries fit into one update");
         self
     }
--- a/crates/honeypulley_mesh/tests/told.rs
+++ b/crates/honeypulley_mesh/tests/told.rs
@@ -21,8 +21,8 @@
     (0..n).map(|i| Entry { name: format!("u{i}"), version: at(11), state: state() }).collect()
 }
 
-fn cut(n: usize) -> Vec<ListUpdate> {
-    ListUpdate::cut(at(10), at(11), Duration::ZERO, &entries(n))
+fn split(n: usize) -> Vec<ListUpdate> {
+    ListUpdate::split(at(10), at(11), Duration::ZERO, &entries(n))
         .expect("the entries fit into one update")
 }
 
@@ -31,7 +31,7 @@
 #[case::last_first([2, 1, 0])]
 #[case::mixed([1, 2, 0])]
 fn fragments_may_arrive_in_any_order(#[case] order: [usize; 3]) {
-    let fragments = cut(2 * MAX_ENTRIES + 1);
+    let fragments = split(2 * MAX_ENTRIES + 1);
     let mut reassembler = Reassembler::default();
     let complete = order.map(|i| reassembler.add(A, &fragments[i]));
     assert_eq!(complete, [false, false, true]);
@@ -39,7 +39,7 @@
 
 #[test]
 fn a_duplicate_fragment_does_not_replace_another() {
-    let fragments = cut(2 * MAX_ENTRIES);
+    let fragments = split(2 * MAX_ENTRIES);
     let mut reassembler = Reassembler::default();
     assert!(!reassembler.add(A, &fragments[1]));
     assert!(!reassembler.add(A, &fragments[1]));
@@ -48,7 +48,7 @@
 
 #[test]
 fn fragments_of_two_senders_are_not_combined() {
-    let fragments = cut(2 * MAX_ENTRIES);
+    let fragments = split(2 * MAX_ENTRIES);
     let mut reassembler = Reassembler::default();
     assert!(!reassembler.add(A, &fragments[0]));
     assert!(!reassembler.add(B, &fragments[1]), "each sender may split its changes differently");
@@ -56,7 +56,7 @@
 
 #[test]
 fn an_empty_update_is_one_fragment() {
-    let fragments = cut(0);
+    let fragments = split(0);
     assert_eq!(fragments.len(), 1);
     assert!(Reassembler::default().add(A, &fragments[0]));
 }
@@ -64,7 +64,7 @@
 #[test]
 fn an_oversized_update_is_not_fragmented() {
     let too_many = entries(MAX_FRAGMENTS * MAX_ENTRIES + 1);
-    assert_eq!(ListUpdate::cut(at(10), at(11), Duration::ZERO, &too_many), None);
+    assert_eq!(ListUpdate::split(at(10), at(11), Duration::ZERO, &too_many), None);
 }
 
 #[rstest]
@@ -72,6 +72,6 @@
 #[case::an_index_beyond_the_last(2, 2)]
 #[case::more_fragments_than_allowed(0, 100)]
 fn an_invalid_fragment_is_ignored(#[case] part: u16, #[case] parts: u16) {
-    let fragments = ListUpdate { part, parts, ..cut(1)[0].clone() };
+    let fragments = ListUpdate { part, parts, ..split(1)[0].clone() };
     assert!(!Reassembler::default().add(A, &fragments));
 }
--- a/crates/honeypulley_peer/src/client.rs
+++ b/crates/honeypulley_peer/src/client.rs
@@ -3,7 +3,7 @@
 use crate::key::FleetKey;
 use crate::listing::{Entry, read_entries};
 use crate::peer_capnp::{gate, peer};
-use crate::server::{Held, HeldPermits, MAX_PARTS};
+use crate::server::{HeldPermits, MAX_PARTS, Versioned};
 use bytes::Bytes;
 use capnp_rpc::{RpcSystem, rpc_twoparty_capnp::Side, twoparty::VatNetwork};
 use futures::AsyncReadExt;
@@ -199,7 +199,7 @@
     ///
     /// # Errors
     /// Returns a [`PeerError`] on a time-out or a malformed answer.
-    pub async fn table(&self, number: u64, wait: Duration) -> Result<Held<Bytes>, PeerError> {
+    pub async fn table(&self, number: u64, wait: Duration) -> Result<Versioned<Bytes>, PeerError> {
         let call = async {
             let mut request = self.peer.table_request();
             request.get().set_number(number);
@@ -208,7 +208,7 @@
             let r = answer.get()?;
             let value = Bytes::copy_from_slice(r.get_value()?);
             let version = Revision::new(r.get_epoch(), r.get_version());
-            Ok::<_, capnp::Error>(Held { version, value })
+            Ok::<_, capnp::Error>(Versioned { version, value })
         };
         with_timeout(self.addr, "table", call).await
     }
@@ -217,13 +217,13 @@
     ///
     /// # Errors
     /// Returns a [`PeerError`] on a time-out or a malformed answer.
-    pub async fn upstreams(&self) -> Result<Held<Vec<Entry>>, PeerError> {
+    pub async fn upstreams(&self) -> Result<Versioned<Vec<Entry>>, PeerError> {
         let call = async {
             let answer = self.peer.upstreams_request().send().promise.await?;
             let r = answer.get()?;
             let value = read_entries(r.get_entries()?)?;
             let version = Revision::new(r.get_epoch(), r.get_version());
-            Ok::<_, capnp::Error>(Held { version, value })
+            Ok::<_, capnp::Error>(Versioned { version, value })
         };
         with_timeout(self.addr, "upstreams", call).await
     }
--- a/crates/honeypulley_peer/src/codec.rs
+++ b/crates/honeypulley_peer/src/codec.rs
@@ -123,7 +123,7 @@
     ///
     /// Returns `None` if there are more than [`MAX_FRAGMENTS`] fragments.
     #[must_use]
-    pub fn cut(
+    pub fn split(
         since: Revision,
         upto: Revision,
         age: Duration,
--- a/crates/honeypulley_peer/src/server.rs
+++ b/crates/honeypulley_peer/src/server.rs
@@ -39,7 +39,7 @@
 
 /// A value of the platform as cached by a box.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Held<T> {
+pub struct Versioned<T> {
     /// Revision up to which the value is complete, zero if nothing is cached.
     pub version: Revision,
     /// Cached value.
@@ -83,12 +83,12 @@
         Box::pin(std::future::ready(()))
     }
     /// Returns the routing table in the platform's encoding.
-    fn table(&self) -> Held<Bytes> {
-        Held::default()
+    fn table(&self) -> Versioned<Bytes> {
+        Versioned::default()
     }
     /// Returns all entries of the list of upstreams.
-    fn upstreams(&self) -> Held<Vec<Entry>> {
-        Held::default()
+    fn upstreams(&self) -> Versioned<Vec<Entry>> {
+        Versioned::default()
     }
 }
 
