--- a/crates/honeypulley_mesh/src/book.rs
+++ b/crates/honeypulley_mesh/src/book.rs
@@ -27,7 +27,7 @@
     hall: String,
     boxes: BTreeMap<NameId, BoxAddress>,
     /// When the last datagram from each peer arrived.
-    last_heard: BTreeMap<NameId, Time>,
+    last_received: BTreeMap<NameId, Time>,
     /// When the last datagram from any peer arrived.
     last_contact: Time,
     /// Number of boxes in each data hall, this one included.
@@ -38,9 +38,9 @@
     /// Creates the empty address book of box `me` in data hall `hall`.
     #[must_use]
     pub fn new(me: NameId, hall: &str) -> Self {
-        let (boxes, last_heard) = (BTreeMap::new(), BTreeMap::new());
+        let (boxes, last_received) = (BTreeMap::new(), BTreeMap::new());
         let halls = BTreeMap::from([(NameId::of(hall), 1)]);
-        Self { me, hall: hall.to_owned(), boxes, last_heard, last_contact: Time::ZERO, halls }
+        Self { me, hall: hall.to_owned(), boxes, last_received, last_contact: Time::ZERO, halls }
     }
 
     /// Records an address; returns whether the box is new or its data hall was unknown so far.
@@ -68,7 +68,7 @@
 
     /// Records that a datagram from a peer arrived, directly or forwarded.
     pub fn record_contact(&mut self, id: NameId, now: Time) {
-        self.last_heard.insert(id, now);
+        self.last_received.insert(id, now);
         self.last_contact = self.last_contact.max(now);
     }
 
@@ -98,7 +98,7 @@
     /// Returns whether any peer is reachable.
     #[must_use]
     pub fn has_reachable_peer(&self, now: Time) -> bool {
-        self.last_heard.values().any(|t| now.since(*t) < REACHABLE_TIMEOUT)
+        self.last_received.values().any(|t| now.since(*t) < REACHABLE_TIMEOUT)
     }
 
     /// Returns the other boxes of this data hall, for the tables' distribution tree.
@@ -111,7 +111,7 @@
     }
 
     fn is_unreachable(&self, id: NameId, now: Time) -> bool {
-        self.last_heard.get(&id).is_none_or(|t| now.since(*t) > REACHABLE_TIMEOUT)
+        self.last_received.get(&id).is_none_or(|t| now.since(*t) > REACHABLE_TIMEOUT)
     }
 
     /// Returns up to `k` boxes of each other data hall, reachable ones first.
--- a/crates/honeypulley_mesh/src/held.rs
+++ b/crates/honeypulley_mesh/src/held.rs
@@ -93,7 +93,7 @@
         });
         let unix_now = unix_time();
         self.mesh
-            .apply_request_updates(record.held.iter().map(|h| h.request_news(unix_now)).collect());
+            .apply_request_updates(record.held.iter().map(|h| h.to_update(unix_now)).collect());
         let held = record.held.iter().map(|h| (h.request, h.trials)).collect();
         let epoch = object.version.epoch;
         Ok(StoredHolds { epoch, version: Some(object.version), held })
@@ -133,7 +133,7 @@
     }
 
     /// Converts a stored hold to an update for the quarantine.
-    fn request_news(&self, unix_now: Duration) -> RequestUpdate {
+    fn to_update(&self, unix_now: Duration) -> RequestUpdate {
         RequestUpdate::Held {
             request: Fingerprint(self.request),
             scope: if self.content { Scope::Content } else { Scope::Caller },
--- a/crates/honeypulley_peer/src/codec.rs
+++ b/crates/honeypulley_peer/src/codec.rs
@@ -2,8 +2,8 @@
 
 use crate::key::FleetKey;
 use crate::listing::{
-    BoxAddress, Entry, MAX_ENTRIES, read_boxes, read_entries, read_news, write_boxes,
-    write_entries, write_news,
+    BoxAddress, Entry, MAX_ENTRIES, read_boxes, read_entries, read_updates, write_boxes,
+    write_entries, write_updates,
 };
 use crate::peer_capnp::datagram as wire;
 use crate::requests::{read_requests, write_requests};
@@ -248,7 +248,7 @@
             Self::News { seq, items } => {
                 let mut b = root.init_news();
                 b.set_seq(*seq);
-                write_news(b.init_seen(items.len() as u32), items);
+                write_updates(b.init_seen(items.len() as u32), items);
             }
             Self::Forward(sealed) => {
                 let mut root = root;
@@ -320,7 +320,9 @@
                 unable: r.get_unable(),
                 list_age: Duration::from_millis(r.get_list_age_ms().into()),
             }),
-            Ok(wire::News(r)) => Self::News { seq: r.get_seq(), items: read_news(r.get_seen()?)? },
+            Ok(wire::News(r)) => {
+                Self::News { seq: r.get_seq(), items: read_updates(r.get_seen()?)? }
+            }
             Ok(wire::Forward(r)) => Self::Forward(Bytes::copy_from_slice(r?)),
             Ok(wire::Changes(r)) => Self::Changes(ListUpdate {
                 since: Revision::new(r.get_since_epoch(), r.get_since()),
--- a/crates/honeypulley_peer/src/listing.rs
+++ b/crates/honeypulley_peer/src/listing.rs
@@ -130,7 +130,7 @@
     list.iter().map(read).collect()
 }
 
-pub(crate) fn write_news(
+pub(crate) fn write_updates(
     mut list: capnp::struct_list::Builder<'_, wire::news_item::Owned>,
     updates: &[Update],
 ) {
@@ -177,7 +177,7 @@
     }
 }
 
-pub(crate) fn read_news(
+pub(crate) fn read_updates(
     list: capnp::struct_list::Reader<'_, wire::news_item::Owned>,
 ) -> Result<Vec<Update>, capnp::Error> {
     let read = |r: wire::news_item::Reader<'_>| {
--- a/crates/honeypulley_policy/src/fleet_limits/buckets.rs
+++ b/crates/honeypulley_policy/src/fleet_limits/buckets.rs
@@ -180,7 +180,7 @@
         let scope = self.scope;
         let u = self.usage_mut(id, limit, now);
         u.refill(scope, now);
-        u.heard_at = now;
+        u.received_at = now;
         let known = u.peer_sums.get(&from).copied();
         if known.is_some_and(|k| k.wrapping_sub(sum) <= MAX_MISSED) {
             return;
@@ -197,15 +197,16 @@
         let is_own_hall = count.hall == self.hall;
         let u = self.usage_mut(id, limit, now);
         u.refill(scope, now);
-        u.heard_at = now;
+        u.received_at = now;
         u.correct(count.tokens);
         if is_own_hall {
             u.announced_at = Some(now);
             return;
         }
         let HallCount { hall, sum, recent, .. } = count;
-        let update = RemoteHall { announcer: from, sum, recent, heard_at: now };
-        let known = u.remote_halls.get(&hall).copied().filter(|f| now.since(f.heard_at) < window);
+        let update = RemoteHall { announcer: from, sum, recent, received_at: now };
+        let known =
+            u.remote_halls.get(&hall).copied().filter(|f| now.since(f.received_at) < window);
         let same = known.filter(|f| f.announcer == from);
         if same.is_some_and(|f| f.sum != sum && f.sum.wrapping_sub(sum) <= MAX_REORDERED) {
             return;
@@ -214,7 +215,7 @@
         let more = same.map(|f| sum.wrapping_sub(f.sum)).filter(|&n| n <= recent);
         u.bucket.level -= match (more, known) {
             (Some(n), _) => n.into(),
-            (None, Some(f)) => count.recent_estimate(now.since(f.heard_at), window),
+            (None, Some(f)) => count.recent_estimate(now.since(f.received_at), window),
             (None, None) => count.excess(limit, scope, window),
         };
     }
@@ -261,7 +262,7 @@
     #[must_use]
     pub fn usage(&mut self, id: NameId, now: Time) -> Option<LimitUsage> {
         let u = self.usages.get_mut(&id)?;
-        let oldest = u.remote_halls.values().map(|f| now.since(f.heard_at)).max();
+        let oldest = u.remote_halls.values().map(|f| now.since(f.received_at)).max();
         Some(LimitUsage {
             rate: u.limit.rate,
             tokens: u.bucket.level,
--- a/crates/honeypulley_policy/src/fleet_limits/hall_count.rs
+++ b/crates/honeypulley_policy/src/fleet_limits/hall_count.rs
@@ -49,5 +49,5 @@
     pub(super) announcer: NameId,
     pub(super) sum: u16,
     pub(super) recent: u16,
-    pub(super) heard_at: Time,
+    pub(super) received_at: Time,
 }
--- a/crates/honeypulley_policy/src/fleet_limits/usage.rs
+++ b/crates/honeypulley_policy/src/fleet_limits/usage.rs
@@ -72,7 +72,7 @@
     /// Whether there are admissions that were not announced to the other data halls.
     pub(super) unannounced: bool,
     /// Time of the last update of a peer about this subject.
-    pub(super) heard_at: Time,
+    pub(super) received_at: Time,
     /// Whether the subject was near its limit when this box was last connected.
     pub(super) near_limit: bool,
     /// Whether the remaining tokens are an estimate made after a start.
@@ -120,7 +120,7 @@
             due_at: None,
             announced_at: None,
             unannounced: false,
-            heard_at: now,
+            received_at: now,
             near_limit: false,
             estimated: false,
         }
@@ -168,7 +168,7 @@
         if silence_secs > MAX_SILENCE.as_secs_f64() {
             return false;
         }
-        let silence = now.since(self.heard_at);
+        let silence = now.since(self.received_at);
         silence > Duration::from_secs_f64(silence_secs).max(MIN_SILENCE)
             && silence < DETECTED_SILENCE
     }
@@ -195,7 +195,7 @@
 
     /// Returns whether this data hall admits enough to affect the others.
     fn is_near_limit(&mut self, rule: LimitRule, scope: LimitScope, now: Time) -> bool {
-        if self.remote_halls.values().any(|f| now.since(f.heard_at) < REPLY_TIME) {
+        if self.remote_halls.values().any(|f| now.since(f.received_at) < REPLY_TIME) {
             return true;
         }
         let RateLimit { rate, burst } = self.limit;
--- a/crates/honeypulley_policy/src/ledger.rs
+++ b/crates/honeypulley_policy/src/ledger.rs
@@ -98,7 +98,7 @@
     entries: BTreeMap<K, Entry>,
     long_decayed: Time,
     short_decayed: Time,
-    short_life: Duration,
+    short_half_life: Duration,
     long: Counts,
     short: Counts,
     cap: f64,
@@ -107,16 +107,16 @@
 impl<K: Ord + Copy> CusumScores<K> {
     /// Creates an empty set of scores, each limited to `cap`.
     ///
-    /// `short_life` is the half-life of the short-term counts, which show a fault shared by all
+    /// `short_half_life` is the half-life of the short-term counts, which show a fault shared by all
     /// upstreams earlier than the long-term counts do.
     #[must_use]
-    pub const fn new(cap: f64, short_life: Duration) -> Self {
+    pub const fn new(cap: f64, short_half_life: Duration) -> Self {
         let zero = Counts { good: 0.0, bad: 0.0 };
         Self {
             entries: BTreeMap::new(),
             long_decayed: Time::ZERO,
             short_decayed: Time::ZERO,
-            short_life,
+            short_half_life,
             long: zero,
             short: zero,
             cap,
@@ -215,7 +215,7 @@
                 self.long.add(e.long.good, e.long.bad);
             }
         }
-        if let Some(factor) = decay_factor(&mut self.short_decayed, self.short_life, now) {
+        if let Some(factor) = decay_factor(&mut self.short_decayed, self.short_half_life, now) {
             self.short = Counts::default();
             for e in self.entries.values_mut() {
                 e.short.scale(factor);
