--- a/crates/honeypulley_mesh/src/book.rs
+++ b/crates/honeypulley_mesh/src/book.rs
@@ -72,7 +72,7 @@
         self.last_contact = self.last_contact.max(now);
     }
 
-    /// Returns whether this box has peers but heard none for 1.5 s.
+    /// Returns whether this box has peers but received nothing from them for 1.5 s.
     #[must_use]
     pub fn is_isolated(&self, now: Time) -> bool {
         !self.boxes.is_empty() && now.since(self.last_contact) > ISOLATION_TIMEOUT
--- a/crates/honeypulley_mesh/tests/boxes/model.rs
+++ b/crates/honeypulley_mesh/tests/boxes/model.rs
@@ -266,8 +266,8 @@
     /// Makes box `to` request changes and the table of box `from`.
     fn request_changes(&mut self, from: usize, to: usize) {
         let since = self.boxes[to].mesh.list_status().version;
-        let told = self.boxes[from].mesh.changes_after(since).unwrap_or_default();
-        told.into_iter().for_each(|t| self.send(from, to, Message::Changes(t)));
+        let changes = self.boxes[from].mesh.changes_after(since).unwrap_or_default();
+        changes.into_iter().for_each(|c| self.send(from, to, Message::Changes(c)));
         let held = self.boxes[from].mesh.table_snapshot();
         let key = "t/main".to_owned();
         let table = Object { key, value: held.value, version: held.version };
--- a/crates/honeypulley_mesh/tests/boxes/restore.rs
+++ b/crates/honeypulley_mesh/tests/boxes/restore.rs
@@ -218,8 +218,8 @@
         state: EntryState::Gone { hold: Duration::ZERO },
     };
     let entries: Vec<Entry> = (0..3).map(gone).collect();
-    let told = ListUpdate::split(Revision::new(2, 0), list, Duration::ZERO, &entries);
-    for part in told.expect("few entries can be encoded") {
+    let fragments = ListUpdate::split(Revision::new(2, 0), list, Duration::ZERO, &entries);
+    for part in fragments.expect("few entries can be encoded") {
         b.mesh.apply_peer_changes(NameId(7), part, via);
     }
     assert_eq!(b.mesh.list_status().version, list);
--- a/crates/honeypulley_supervisor/src/ring.rs
+++ b/crates/honeypulley_supervisor/src/ring.rs
@@ -10,7 +10,7 @@
 /// Overflow policy of a ring.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OverflowPolicy {
-    /// Drops the oldest item; for news that later news replaces.
+    /// Drops the oldest item; for updates that later updates replace.
     DropOldest,
     /// Drops the new item; for evidence, of which more will follow.
     DropNewest,
