--- a/crates/honeypulley_mesh/src/catch_up.rs
+++ b/crates/honeypulley_mesh/src/catch_up.rs
@@ -32,7 +32,7 @@
 const READ_INTERVAL: Duration = Duration::from_millis(600);
 /// Age of the list above which changes are presumed missing.
 ///
-/// This applies to a box that hears no reader with answers from the platform.
+/// This applies to a box that receives no beacon of a reader with answers from the platform.
 /// In normal operation, the age is at most 1.1 s: the timeout of a watch and a beacon interval.
 const MAX_LIST_AGE: Duration = Duration::from_millis(1_150);
 /// Time without success after which the intervals between actions grow.
--- a/crates/honeypulley_mesh/src/held.rs
+++ b/crates/honeypulley_mesh/src/held.rs
@@ -92,8 +92,9 @@
             HeldRecord::default()
         });
         let unix_now = unix_time();
-        self.mesh
-            .apply_request_updates(record.held.iter().map(|h| h.to_update(unix_now)).collect());
+        self.mesh.apply_request_updates(
+            record.held.iter().map(|h| h.request_update(unix_now)).collect(),
+        );
         let held = record.held.iter().map(|h| (h.request, h.trials)).collect();
         let epoch = object.version.epoch;
         Ok(StoredHolds { epoch, version: Some(object.version), held })
@@ -133,7 +134,7 @@
     }
 
     /// Converts a stored hold to an update for the quarantine.
-    fn to_update(&self, unix_now: Duration) -> RequestUpdate {
+    fn request_update(&self, unix_now: Duration) -> RequestUpdate {
         RequestUpdate::Held {
             request: Fingerprint(self.request),
             scope: if self.content { Scope::Content } else { Scope::Caller },
--- a/crates/honeypulley_mesh/src/readers.rs
+++ b/crates/honeypulley_mesh/src/readers.rs
@@ -302,7 +302,8 @@
 
     /// Decides whether to be a reader; `draw` is uniformly random in `0.0..1.0`.
     ///
-    /// Must be called at intervals of [`Readers::decide_interval`]. Returns whether the role changed.
+    /// Must be called at intervals of [`Readers::decide_interval`]. Returns whether the role
+    /// changed.
     pub fn decide(&mut self, boxes: usize, draw: f64, now: Time) -> bool {
         let was_reading = self.reading_since.is_some();
         let no_reader = self.is_silent(now) || self.live(now).is_empty();
--- a/crates/honeypulley_policy/src/balance/heard.rs
+++ b/crates/honeypulley_policy/src/balance/heard.rs
@@ -18,7 +18,7 @@
 /// network paths, and two such peers would corroborate each other.
 pub(super) const CONTRADICTED_TIME: Duration = Duration::from_secs(5);
 
-/// An upstream that became suspect by a peer's update.
+/// An upstream that became suspect through a peer's update.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Suspicion {
     /// Name of the upstream.
--- a/crates/honeypulley_policy/src/ledger.rs
+++ b/crates/honeypulley_policy/src/ledger.rs
@@ -107,8 +107,8 @@
 impl<K: Ord + Copy> CusumScores<K> {
     /// Creates an empty set of scores, each limited to `cap`.
     ///
-    /// `short_half_life` is the half-life of the short-term counts, which show a fault shared by all
-    /// upstreams earlier than the long-term counts do.
+    /// `short_half_life` is the half-life of the short-term counts, which show a fault shared by
+    /// all upstreams earlier than the long-term counts do.
     #[must_use]
     pub const fn new(cap: f64, short_half_life: Duration) -> Self {
         let zero = Counts { good: 0.0, bad: 0.0 };
--- a/crates/honeypulley_policy/src/permits.rs
+++ b/crates/honeypulley_policy/src/permits.rs
@@ -5,10 +5,10 @@
 //! clocks of different boxes are never compared.
 //!
 //! A box may act on a permit for [`LEASE`] after the platform last confirmed the box's view. A
-//! released upstream stays on the list as [`PermitState::Cooling`] until all older views have expired:
-//! whoever removes it must itself have observed the release for longer than a lease, on its own
-//! monotonic clock. Therefore the union of the ejections of all boxes is always a subset of the
-//! list, and the list never exceeds what the floor allows.
+//! released upstream stays on the list as [`PermitState::Cooling`] until all older views have
+//! expired: whoever removes it must itself have observed the release for longer than a lease, on
+//! its own monotonic clock. Therefore the union of the ejections of all boxes is always a subset of
+//! the list, and the list never exceeds what the floor allows.
 
 use crate::time::Time;
 use serde::{Deserialize, Serialize};
--- a/crates/honeypulley_policy/tests/floor.rs
+++ b/crates/honeypulley_policy/tests/floor.rs
@@ -1,7 +1,7 @@
 //! Tests that healthy upstreams receive requests while most of their service hangs.
 //!
-//! The boxes of one simulated data hall exchange their updates without delay. The simulation uses no
-//! sockets and no clock, so it gives the same result in each run.
+//! The boxes of one simulated data hall exchange their updates without delay. The simulation uses
+//! no sockets and no clock, so it gives the same result in each run.
 
 use honeypulley_policy::balance::{Balancer, FleetScope, RetryRule, UpstreamEntry};
 use honeypulley_policy::chooser::{RequestInfo, RoutingPolicy};
--- a/crates/honeypulley_policy/tests/load/hall.rs
+++ b/crates/honeypulley_policy/tests/load/hall.rs
@@ -1,7 +1,7 @@
 //! Discrete-event simulation of the boxes, upstreams and clients of one data hall.
 //!
-//! The simulation uses no sockets and no clock, so a seed always gives the same result. News of one
-//! box reach the others after [`UPDATE_DELAY_MS`], as by datagram.
+//! The simulation uses no sockets and no clock, so a seed always gives the same result. Updates of
+//! one box reach the others after [`UPDATE_DELAY_MS`], as by datagram.
 
 use crate::plan::{Plan, Policy};
 use crate::worker::Worker;
@@ -22,7 +22,7 @@
 const STEP_MS: u64 = 5;
 /// Delay of updates between boxes, in ms: network and scheduling on a busy box.
 const UPDATE_DELAY_MS: u64 = 15;
-/// Time per box for which updates about finished attempts is batched, in ms.
+/// Time per box for which updates about finished attempts are batched, in ms.
 ///
 /// Boxes limit the total to [`MAX_BATCH_MS`].
 const BATCH_PER_BOX_MS: f64 = 2.5;
