--- a/crates/honeypulley_mesh/src/doubts.rs
+++ b/crates/honeypulley_mesh/src/doubts.rs
@@ -32,16 +32,17 @@
     /// Logs a suspicion raised by a peer's report, within the rate limit.
     ///
     /// Returns whether a line was written.
-    pub fn log(&mut self, from: NameId, d: &Suspicion, now: Time) -> bool {
+    pub fn log(&mut self, from: NameId, suspicion: &Suspicion, now: Time) -> bool {
         if self.quota.try_acquire(BURST, now).is_err() {
             self.left_out += 1;
             return false;
         }
         let left_out = std::mem::take(&mut self.left_out);
         log::info!(
-            upstream = d.upstream.as_str(), what:debug = d.observation, from = from.0,
-            before = round_probability(d.before), sick = round_probability(d.after), left_out;
-            "news: {} is in doubt", d.upstream
+            upstream = suspicion.upstream.as_str(), what:debug = suspicion.observation,
+            from = from.0, before = round_probability(suspicion.before),
+            sick = round_probability(suspicion.after), left_out;
+            "news: {} is in doubt", suspicion.upstream
         );
         true
     }
--- a/crates/honeypulley_mesh/src/lists.rs
+++ b/crates/honeypulley_mesh/src/lists.rs
@@ -116,17 +116,17 @@
     }
 
     /// Applies list changes, or one fragment of them, received from a peer.
-    pub fn apply_peer_changes(&self, sender: NameId, t: ListUpdate, from: SocketAddr) {
+    pub fn apply_peer_changes(&self, sender: NameId, update: ListUpdate, from: SocketAddr) {
         let now = self.now();
-        let upto = t.upto;
+        let upto = update.upto;
         self.observe_epoch(upto.epoch, "a peer");
         let hold = self.readers().departure_hold(now);
         let mut lists = self.lists.lock();
-        let is_complete = lists.reassembler.add(sender, &t);
-        let changes = lists.list.apply_entries(cap_holds(t.entries, hold), now);
+        let is_complete = lists.reassembler.add(sender, &update);
+        let changes = lists.list.apply_entries(cap_holds(update.entries, hold), now);
         if is_complete {
-            lists.list.mark_complete(t.since, upto, now);
-            lists.list.confirm(upto, now.before(t.age));
+            lists.list.mark_complete(update.since, upto, now);
+            lists.list.confirm(upto, now.before(update.age));
             lists.peer_complete = lists.peer_complete.max(upto);
         }
         let has_changed = !changes.is_empty();
--- a/crates/honeypulley_mesh/src/told.rs
+++ b/crates/honeypulley_mesh/src/told.rs
@@ -32,13 +32,16 @@
 
 impl Reassembler {
     /// Records a fragment; returns whether its update is now complete.
-    pub fn add(&mut self, sender: NameId, t: &ListUpdate) -> bool {
-        if t.parts == 0 || t.part >= t.parts || usize::from(t.parts) > MAX_FRAGMENTS {
+    pub fn add(&mut self, sender: NameId, update: &ListUpdate) -> bool {
+        if update.parts == 0
+            || update.part >= update.parts
+            || usize::from(update.parts) > MAX_FRAGMENTS
+        {
             return false;
         }
-        let all = (1_u64 << t.parts) - 1;
-        let id = UpdateId { sender, since: t.since, upto: t.upto, parts: t.parts };
-        let mut received = 1_u64 << t.part;
+        let all = (1_u64 << update.parts) - 1;
+        let id = UpdateId { sender, since: update.since, upto: update.upto, parts: update.parts };
+        let mut received = 1_u64 << update.part;
         if let Some(i) = self.incomplete.iter().position(|(other, _)| *other == id) {
             received |= self.incomplete.remove(i).map_or(0, |(_, bits)| bits);
         }
--- a/crates/honeypulley_policy/tests/balance/named.rs
+++ b/crates/honeypulley_policy/tests/balance/named.rs
@@ -86,8 +86,8 @@
     send_one(&mut b, &[], Some(5.0), 300);
     let updates = b.take_updates();
     assert!(!updates.contains(&limit), "an unchanged limit is not announced again at once");
-    let is_sent = |n: &Update| matches!(n, Update::Admitted { .. }) && n.is_for_hall();
-    assert_eq!(updates.iter().filter(|n| is_sent(n)).count(), 1, "{updates:?}");
+    let is_sent = |u: &Update| matches!(u, Update::Admitted { .. }) && u.is_for_hall();
+    assert_eq!(updates.iter().filter(|u| is_sent(u)).count(), 1, "{updates:?}");
     send_one(&mut b, &[], Some(5.0), 2_500);
     assert!(
         b.take_updates().contains(&limit),
