--- a/crates/honeypulley_mesh/src/lists.rs
+++ b/crates/honeypulley_mesh/src/lists.rs
@@ -10,7 +10,7 @@
 use crate::told::Reassembler;
 use honeypulley_peer::codec::{Beacon, ListUpdate};
 use honeypulley_peer::listing::{Entry, EntryState};
-use honeypulley_peer::server::Held;
+use honeypulley_peer::server::Versioned;
 use honeypulley_platform::api::Changes;
 use honeypulley_policy::chooser::ListStatus;
 use honeypulley_policy::collector::NameId;
@@ -116,17 +116,17 @@
     }
 
     /// Applies list changes, or one fragment of them, received from a peer.
-    pub fn apply_peer_changes(&self, sender: NameId, t: ListUpdate, from: SocketAddr) {
+    pub fn apply_peer_changes(&self, sender: NameId, update: ListUpdate, from: SocketAddr) {
         let now = self.now();
-        let upto = t.upto;
+        let upto = update.upto;
         self.observe_epoch(upto.epoch, "a peer");
         let hold = self.readers().departure_hold(now);
         let mut lists = self.lists.lock();
-        let is_complete = lists.reassembler.add(sender, &t);
-        let changes = lists.list.apply_entries(cap_holds(t.entries, hold), now);
+        let is_complete = lists.reassembler.add(sender, &update);
+        let changes = lists.list.apply_entries(cap_holds(update.entries, hold), now);
         if is_complete {
-            lists.list.mark_complete(t.since, upto, now);
-            lists.list.confirm(upto, now.before(t.age));
+            lists.list.mark_complete(update.since, upto, now);
+            lists.list.confirm(upto, now.before(update.age));
             lists.peer_complete = lists.peer_complete.max(upto);
         }
         let has_changed = !changes.is_empty();
@@ -275,14 +275,14 @@
         let lists = self.lists.lock();
         let entries = lists.list.changes_after(since, now)?;
         let age = lists.list.as_of().map_or(Duration::MAX, |at| now.since(at));
-        ListUpdate::cut(lists.list.diff_base(since), lists.list.version(), age, &entries)
+        ListUpdate::split(lists.list.diff_base(since), lists.list.version(), age, &entries)
     }
 
     /// Returns the full list, for a peer that pulls it.
     #[must_use]
-    pub fn list_snapshot(&self) -> Held<Vec<Entry>> {
+    pub fn list_snapshot(&self) -> Versioned<Vec<Entry>> {
         let lists = self.lists.lock();
-        Held { version: lists.list.version(), value: lists.list.entries(self.now()) }
+        Versioned { version: lists.list.version(), value: lists.list.entries(self.now()) }
     }
 
     /// Returns whether a full list has been applied.
