--- a/crates/honeypulley/src/lib.rs
+++ b/crates/honeypulley/src/lib.rs
@@ -18,7 +18,7 @@
 //! router.set_members(&[member], 1, Time::ZERO);
 //! let service = router.service("guestlist").expect("the service was just set");
 //! let pick = router.pick(service, true, &[], Time::ZERO)?;
-//! assert_eq!(router.upstream(pick.upstream), Some(("g1", "10.0.0.9:80")));
+//! assert_eq!(router.endpoint(pick.upstream), Some(("g1", "10.0.0.9:80")));
 //! # Ok::<(), Refusal>(())
 //! ```
 
